--- a/internal/place/candidates.go
+++ b/internal/place/candidates.go
@@ -10,84 +10,86 @@
 )
 
 const (
-	// homesAsked is how many homes of a prompt are candidates: the first, at which its
-	// shared parts are most likely, and the next ones, to which a prompt that would wait
-	// there goes, so that its parts are at few servers also where many ask for them.
-	homesAsked = 2
-	// drawnAsked is how many servers of the own data hall are drawn beside them: of two
-	// that are drawn the better one is seldom busy (M. Mitzenmacher, "The Power of Two
-	// Choices in Randomized Load Balancing", 2001).
-	drawnAsked = 2
-	// drawsMost bounds the draws until some server fits.
-	drawsMost = 12
-	// surveyMost is up to how many servers all are weighed by what is believed of them,
-	// and the best asked: routers know much of each there, and the work is some ten
-	// microseconds.
-	surveyMost = 24
+	// preferredCandidates is how many servers, in rendezvous hashing order, are candidates for a
+	// prompt with shared parts. The first most likely has the parts cached; the second takes
+	// prompts that would wait at the first, which keeps the parts on few servers even if many
+	// requests need them.
+	preferredCandidates = 2
+	// sampledCandidates is how many servers of the own data hall are sampled in addition: the
+	// better of two random servers is seldom busy (M. Mitzenmacher, "The Power of Two Choices in
+	// Randomized Load Balancing", 2001).
+	sampledCandidates = 2
+	// maxSamples bounds the attempts to sample an eligible server.
+	maxSamples = 12
+	// maxFullRanking is the maximum number of servers up to which all are ranked by their
+	// estimated cost and the best are queried: with so few servers routers know each one's state
+	// well, and the work takes some ten microseconds.
+	maxFullRanking = 24
 )
 
-// ring is a list of servers, prepared for choosing among them. Lists of records are never
-// changed, so that one is known by its first entry.
-type ring struct {
+// serverIndex is a list of servers with precomputed hashes and halls. Lists of records are
+// immutable, so the address of the first entry identifies one.
+type serverIndex struct {
 	records []*wire.ServerRecord
-	servers []ringEntry
-	// near are the numbers of those of the own data hall.
-	near []int
+	servers []indexEntry
+	// local holds the indexes of the servers in the own data hall.
+	local []int
 }
 
-// ringEntry is a server of a ring.
-type ringEntry struct {
+// indexEntry is one server of the index.
+type indexEntry struct {
 	id   sumachead.ServerID
-	draw uint64
+	hash uint64
 }
 
-// of reports whether the ring is of a list.
-func (r *ring) of(records []*wire.ServerRecord) bool {
+// covers reports whether the index was built from these records.
+func (r *serverIndex) covers(records []*wire.ServerRecord) bool {
 	return len(r.records) == len(records) && (len(records) == 0 || &r.records[0] == &records[0])
 }
 
-// prepare makes the ring of a list. The caller holds mu.
-func (c *Chooser) prepare(records []*wire.ServerRecord) *ring {
-	if c.ring.of(records) {
-		return &c.ring
+// indexFor returns the index of a list and rebuilds it if the list has changed. The caller holds
+// mu.
+func (c *Chooser) indexFor(records []*wire.ServerRecord) *serverIndex {
+	if c.index.covers(records) {
+		return &c.index
 	}
-	c.ring = ring{records: records}
+	c.index = serverIndex{records: records}
 	for i, r := range records {
 		id := sumachead.ServerID(r.GetId())
-		c.ring.servers = append(c.ring.servers, ringEntry{id, drawOf(id)})
+		c.index.servers = append(c.index.servers, indexEntry{id, hashOf(id)})
 		if r.GetHall() == string(c.hall) {
-			c.ring.near = append(c.ring.near, i)
+			c.index.local = append(c.index.local, i)
 		}
 	}
-	return &c.ring
+	return &c.index
 }
 
-// Candidates picks the few servers worth asking for a request: homes of its parts, and some
-// of the own data hall that are drawn. The work does not grow with the number of servers
-// but for a look at each in search of the homes.
+// Candidates returns the few servers whose load trackers should be queried for a request: the
+// preferred servers of its shared parts, and some sampled from the own data hall. Only the
+// search for preferred servers visits every server.
 func (c *Chooser) Candidates(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Work, now time.Time) []*wire.ServerRecord {
-	if len(records) <= homesAsked+drawnAsked || w.Engine == nil {
+	if len(records) <= preferredCandidates+sampledCandidates || w.Engine == nil {
 		return records
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := &pick{ring: c.prepare(records)}
-	p.fit = func(i int) bool { return c.fit(p.ring, i, tried, now) }
-	if w.shares() {
-		p.homes(homeKey(partsOf(w)), homesAsked)
+	p := &selection{serverIndex: c.indexFor(records)}
+	p.eligible = func(i int) bool { return c.eligible(p.serverIndex, i, tried, now) }
+	if w.hasSharedParts() {
+		p.addPreferred(affinityKey(partsOf(w)), preferredCandidates)
 	}
 	if len(p.picked) > 0 {
-		w.home = records[p.picked[0]]
+		w.preferred = records[p.picked[0]]
 	}
-	if len(records) <= surveyMost {
-		return withHome(c.survey(records, tried, w, now), w.home)
+	if len(records) <= maxFullRanking {
+		return withPreferred(c.bestRanked(records, tried, w, now), w.preferred)
 	}
-	p.draw(p.near, homesAsked+drawnAsked-len(p.picked))
-	p.drawAny(homesAsked + drawnAsked)
+	p.sampleFrom(p.local, preferredCandidates+sampledCandidates-len(p.picked))
+	p.sampleAny(preferredCandidates + sampledCandidates)
 	if len(p.picked) == 0 {
-		// None is known to be well: the choice is among all that are not passed over.
+		// No server is ready and healthy: consider all that are not excluded.
 		return slices.DeleteFunc(slices.Clone(records), func(r *wire.ServerRecord) bool {
-			return c.passedOver(sumachead.ServerID(r.GetId()), tried)
+			return c.excluded(sumachead.ServerID(r.GetId()), tried)
 		})
 	}
 	out := make([]*wire.ServerRecord, 0, len(p.picked))
@@ -97,26 +99,26 @@
 	return out
 }
 
-// withHome puts a prompt's home in the place of the last candidate if it is none of them:
-// its gauge knows where else the prompt's parts are.
-func withHome(few []*wire.ServerRecord, home *wire.ServerRecord) []*wire.ServerRecord {
-	if home != nil && !slices.Contains(few, home) {
-		few[len(few)-1] = home
+// withPreferred replaces the last candidate by the preferred server unless that is already a
+// candidate: its load tracker knows which other servers have the prompt's parts cached.
+func withPreferred(candidates []*wire.ServerRecord, preferred *wire.ServerRecord) []*wire.ServerRecord {
+	if preferred != nil && !slices.Contains(candidates, preferred) {
+		candidates[len(candidates)-1] = preferred
 	}
-	return few
+	return candidates
 }
 
-// survey picks the servers with the least believed loss. The caller holds mu.
-func (c *Chooser) survey(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Work, now time.Time) []*wire.ServerRecord {
+// bestRanked returns the servers with the lowest estimated cost. The caller holds mu.
+func (c *Chooser) bestRanked(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Work, now time.Time) []*wire.ServerRecord {
 	type ranked struct {
 		record *wire.ServerRecord
 		rank   rank
 	}
-	o := c.offer(records, w, now)
+	o := c.locateParts(records, w, now)
 	all := make([]ranked, 0, len(records))
 	for _, r := range records {
 		id := sumachead.ServerID(r.GetId())
-		if c.passedOver(id, tried) {
+		if c.excluded(id, tried) {
 			continue
 		}
 		s := c.server(id)
@@ -128,39 +130,39 @@
 		}
 		return 1
 	})
-	out := make([]*wire.ServerRecord, 0, homesAsked+drawnAsked)
-	for _, x := range all[:min(len(all), homesAsked+drawnAsked)] {
+	out := make([]*wire.ServerRecord, 0, preferredCandidates+sampledCandidates)
+	for _, x := range all[:min(len(all), preferredCandidates+sampledCandidates)] {
 		out = append(out, x.record)
 	}
 	return out
 }
 
-// fit reports whether a server may be picked: it is ready, is not passed over, and has not
-// just failed. The caller holds mu.
-func (c *Chooser) fit(r *ring, i int, tried []sumachead.ServerID, now time.Time) bool {
+// eligible reports whether a server is a candidate: it is ready, not excluded, and not ejected
+// after a failure. The caller holds mu.
+func (c *Chooser) eligible(r *serverIndex, i int, tried []sumachead.ServerID, now time.Time) bool {
 	id := r.servers[i].id
-	if r.records[i].GetState() != wire.ServerState_SERVER_STATE_READY || c.passedOver(id, tried) {
+	if r.records[i].GetState() != wire.ServerState_SERVER_STATE_READY || c.excluded(id, tried) {
 		return false
 	}
 	s := c.servers[id]
-	return s == nil || !now.Before(s.suspectTo)
+	return s == nil || !now.Before(s.ejectedUntil)
 }
 
-// pick is a choice of a few servers of a ring.
-type pick struct {
-	*ring
-	fit    func(i int) bool
-	picked []int
+// selection collects the indexes of a few eligible servers.
+type selection struct {
+	*serverIndex
+	eligible func(i int) bool
+	picked   []int
 }
 
-// homes picks the first homes of a prompt, by rendezvous hashing.
-func (p *pick) homes(k partKey, n int) {
+// addPreferred adds the first n eligible servers for a prompt in rendezvous hashing order.
+func (p *selection) addPreferred(k partKey, n int) {
 	for range n {
-		best, least := -1, uint64(0)
+		best, lowest := -1, uint64(0)
 		for i, s := range p.servers {
-			a := mix(uint64(k) ^ s.draw)
-			if (best < 0 || a < least) && !slices.Contains(p.picked, i) && p.fit(i) {
-				best, least = i, a
+			a := mixBits(uint64(k) ^ s.hash)
+			if (best < 0 || a < lowest) && !slices.Contains(p.picked, i) && p.eligible(i) {
+				best, lowest = i, a
 			}
 		}
 		if best < 0 {
@@ -170,26 +172,26 @@
 	}
 }
 
-// draw picks some of those listed.
-func (p *pick) draw(from []int, n int) {
-	for range drawsMost {
+// sampleFrom adds up to n random servers of a list.
+func (p *selection) sampleFrom(from []int, n int) {
+	for range maxSamples {
 		if n == 0 || len(from) == 0 {
 			return
 		}
-		if i := from[rand.IntN(len(from))]; !slices.Contains(p.picked, i) && p.fit(i) {
+		if i := from[rand.IntN(len(from))]; !slices.Contains(p.picked, i) && p.eligible(i) {
 			p.picked = append(p.picked, i)
 			n--
 		}
 	}
 }
 
-// drawAny picks others until so many are picked.
-func (p *pick) drawAny(most int) {
-	for range drawsMost {
-		if len(p.picked) >= most {
+// sampleAny adds random servers until enough are picked.
+func (p *selection) sampleAny(n int) {
+	for range maxSamples {
+		if len(p.picked) >= n {
 			return
 		}
-		if i := rand.IntN(len(p.records)); !slices.Contains(p.picked, i) && p.fit(i) {
+		if i := rand.IntN(len(p.records)); !slices.Contains(p.picked, i) && p.eligible(i) {
 			p.picked = append(p.picked, i)
 		}
 	}
--- a/internal/place/chooser_test.go
+++ b/internal/place/chooser_test.go
@@ -12,7 +12,7 @@
 	"sumachead/api/wire"
 )
 
-// engines returns records of servers of one data hall each.
+// engines returns the records of servers, each in another data hall.
 func engines(ids ...string) []*wire.ServerRecord {
 	var out []*wire.ServerRecord
 	for i, id := range ids {
@@ -21,10 +21,10 @@
 	return out
 }
 
-// limits are those of engines that fetch 100,000 tokens a second.
+// limits are those of engines that fetch 100,000 tokens per second.
 var limits = &wire.EngineLimits{Slots: 64, FetchTokensPerSecond: 100_000}
 
-// review returns work with two shared parts and one of its own.
+// review returns a request with two shared parts and one of its own.
 func review(now time.Time, own sumachead.Tokens) *Work {
 	return &Work{
 		Route: "review", Prompt: 13_000 + own, Answer: 300, FirstBy: now.Add(800 * time.Millisecond), Pause: 500 * time.Millisecond,
@@ -32,7 +32,7 @@
 	}
 }
 
-// chat returns work with a short prompt and a long answer.
+// chat returns a request with a short prompt and a long response.
 func chat(now time.Time) *Work {
 	return &Work{
 		Route: "chat", Prompt: 800, Answer: 900, FirstBy: now.Add(500 * time.Millisecond), Pause: 500 * time.Millisecond,
@@ -40,13 +40,13 @@
 	}
 }
 
-// trained returns a chooser that knows how fast engines read: 60 tokens in a
-// millisecond, and a base of 25 ms.
+// trained returns a scheduler whose prefill model has learned 60 tokens per millisecond and a
+// base of 25 ms.
 func trained(hall sumachead.HallID) *Chooser {
 	c := NewChooser(hall)
 	for i := range 300 {
 		n := sumachead.Tokens(200 + 100*(i%200))
-		c.reading.Note(n, n, 0, 25*time.Millisecond+time.Duration(n)*time.Millisecond/60)
+		c.prefill.Observe(n, n, 0, 25*time.Millisecond+time.Duration(n)*time.Millisecond/60)
 	}
 	return c
 }
@@ -68,31 +68,31 @@
 	}
 }
 
-// Shared parts are fetched from the server that most likely keeps them, where that
-// saves reading them again.
+// Shared parts are fetched from the server that most likely has them cached, if that saves their
+// prefill.
 func TestSharedPartsAreFetched(t *testing.T) {
 	now := time.Now()
 	w := review(now, 2000)
 	const silent = wire.ServerState_SERVER_STATE_SILENT
 	tests := []struct {
 		name string
-		// kept are the parts that servers are known to keep.
+		// cached holds the parts that servers are known to have.
 		kept map[string][]string
 		// chosen is the only server that was not tried.
 		chosen string
-		// silent is a server that nobody fetches from.
+		// silent is a server from which nothing may be fetched.
 		silent string
 		rate   int64
 		want   string
 	}{
-		{"nobody has them", nil, "b", "", 100_000, ""},
+		{"no server has them", nil, "b", "", 100_000, ""},
 		{"another has them", map[string][]string{"a": {"doc", "more"}}, "b", "", 100_000, "a:1"},
-		{"engines can't fetch", map[string][]string{"a": {"doc", "more"}}, "b", "", 0, ""},
-		{"another has them, but so has the chosen one", map[string][]string{"a": {"doc", "more"}, "b": {"doc", "more"}}, "b", "", 100_000, ""},
+		{"engines cannot fetch", map[string][]string{"a": {"doc", "more"}}, "b", "", 0, ""},
+		{"the chosen one has them too", map[string][]string{"a": {"doc", "more"}, "b": {"doc", "more"}}, "b", "", 100_000, ""},
 		{"another has more", map[string][]string{"a": {"doc", "more"}, "b": {"doc"}}, "b", "", 100_000, "a:1"},
 		{"the other is silent", map[string][]string{"a": {"doc", "more"}}, "b", "a", 100_000, ""},
 		{"the one with most is silent", map[string][]string{"a": {"doc", "more"}, "c": {"doc"}}, "b", "a", 100_000, "c:1"},
-		{"a part without those before it is of no use", map[string][]string{"c": {"more"}}, "b", "", 100_000, ""},
+		{"a part without its predecessors is useless", map[string][]string{"c": {"more"}}, "b", "", 100_000, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -108,16 +108,17 @@
 				}
 				for _, id := range tt.kept[r.GetId()] {
 					key := partsOf(&Work{Parts: []sumachead.PromptPart{{ID: id}}})[0].key
-					c.server(sumachead.ServerID(r.GetId())).bring(key, now)
+					c.server(sumachead.ServerID(r.GetId())).addPart(key, now)
 				}
 			}
 			work := *w
 			work.Engine = &wire.EngineLimits{FetchTokensPerSecond: tt.rate}
 			l := c.Place(servers, tried, &work, now)
-			// A home that nobody is known to have sent parts to counts as having them.
-			if tt.want == "" && c.offer(servers, &work, now).has == 0 {
+			// A preferred server to which no parts are known to have been sent counts as having
+			// them.
+			if tt.want == "" && c.locateParts(servers, &work, now).cached == 0 {
 				if l.FetchFrom != "" {
-					t.Fatalf("fetched from %s, and nobody has the parts", l.FetchFrom)
+					t.Fatalf("fetched from %s, but no server has the parts", l.FetchFrom)
 				}
 				return
 			}
@@ -128,8 +129,8 @@
 	}
 }
 
-// A server whose slots are taken is passed over, by whomever they are, but for the few
-// requests that would wait less for a slot than it costs to go elsewhere.
+// A server whose slots are taken, by whichever router, is not chosen, except for the few
+// requests whose wait for a slot costs less than another server.
 func TestSlotsBoundWhatIsSent(t *testing.T) {
 	now := time.Now()
 	servers := engines("a", "b")
@@ -149,17 +150,17 @@
 			}
 		}
 	})
-	t.Run("other routers'", func(t *testing.T) {
+	t.Run("other routers", func(t *testing.T) {
 		c := trained("hall-1")
-		c.Told("a", chat(now), &wire.GaugeAnswer{Load: &wire.ServerLoad{Running: int64(slots * 5 / 4)}, FactorThousandths: thousand}, now)
+		c.Told("a", chat(now), &wire.GaugeAnswer{Load: &wire.ServerLoad{Running: int64(slots * 5 / 4)}, FactorThousandths: wireScale}, now)
 		if l := c.Place(servers, nil, chat(now), now); l.Record.GetId() != "b" {
 			t.Error("sent to a server without a free slot")
 		}
 	})
 }
 
-// Where a route has no objectives nothing is late, and the first event still comes from
-// the server that has the least to read.
+// Without objectives no request is late, and the server with the shortest backlog is still
+// chosen.
 func TestWithoutObjectivesTheIdleServerIsChosen(t *testing.T) {
 	now := time.Now()
 	servers := engines("a", "b", "c")
@@ -173,13 +174,13 @@
 		seen[c.Place(servers, nil, w, now).Record.GetId()] = true
 	}
 	if len(seen) != len(servers) {
-		t.Errorf("three prompts were sent to %d servers", len(seen))
+		t.Errorf("three prompts went to %d servers", len(seen))
 	}
 }
 
-// A prompt that is read for a long time goes where it makes the fewest streams late,
-// and streams go where such prompts are rare.
-func TestLongPromptsAndStreamsPart(t *testing.T) {
+// A long prefill goes to the server where it makes the fewest streams late, and streams go to
+// servers with few long prefills.
+func TestLongPromptsAreKeptApartFromStreams(t *testing.T) {
 	now := time.Now()
 	servers := engines("a", "b", "c")
 	c := trained("hall-1")
@@ -188,17 +189,17 @@
 	}
 	long := &Work{Route: "long", Prompt: 27_000, Answer: 300, FirstBy: now.Add(time.Second), Pause: 500 * time.Millisecond, Engine: limits}
 	if l := c.Place(servers, nil, long, now); l.Record.GetId() != "c" {
-		t.Fatalf("a long prompt was sent beside streams, to %s", l.Record.GetId())
+		t.Fatalf("a long prompt was sent to %s, which has streams", l.Record.GetId())
 	}
-	later := now.Add(time.Second) // it has been read
+	later := now.Add(time.Second) // the prefill has ended
 	for i := range 10 {
 		if l := c.Place(servers, nil, chat(later), later); l.Record.GetId() == "c" {
-			t.Fatalf("stream %d was sent to where long prompts are read", i)
+			t.Fatalf("stream %d was sent to the server with long prefills", i)
 		}
 	}
 }
 
-// The same holds for what other routers tell.
+// Reported loads of other routers have the same effect.
 func TestOthersLoadsCount(t *testing.T) {
 	now := time.Now()
 	servers := engines("a", "b")
@@ -209,29 +210,29 @@
 		work *Work
 	}{
 		{"streams at risk", &wire.ServerLoad{AtRisk: 50_000, PauseMillis: 500}, long},
-		{"prompts that are read", &wire.ServerLoad{ReadMillis: 900}, chat(now)},
-		{"long prompts lately", &wire.ServerLoad{LongThousandths: 4000}, chat(now)},
+		{"prefill backlog", &wire.ServerLoad{ReadMillis: 900}, chat(now)},
+		{"recent long prompts", &wire.ServerLoad{LongThousandths: 4000}, chat(now)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			for _, r := range servers {
 				c := trained("hall-1")
 				id := sumachead.ServerID(r.GetId())
-				c.Told(id, tt.work, &wire.GaugeAnswer{Load: tt.load, FactorThousandths: thousand}, now)
+				c.Told(id, tt.work, &wire.GaugeAnswer{Load: tt.load, FactorThousandths: wireScale}, now)
 				if l := c.Place(servers, nil, tt.work, now); l.Record.GetId() == r.GetId() {
 					t.Errorf("placed at %s", r.GetId())
 				}
-				late := now.Add(2 * othersFor)
-				if diff := cmp.Diff(others{}, c.server(id).othersAt(late), cmp.AllowUnexported(others{})); diff != "" {
-					t.Errorf("old loads are believed (-want +got):\n%s", diff)
+				late := now.Add(2 * remoteLoadTTL)
+				if diff := cmp.Diff(remoteLoad{}, c.server(id).remoteAt(late), cmp.AllowUnexported(remoteLoad{})); diff != "" {
+					t.Errorf("expired loads are believed (-want +got):\n%s", diff)
 				}
 			}
 		})
 	}
 }
 
-// The model of reading finds an engine's figures from noisy measurements.
-func TestReadingIsLearned(t *testing.T) {
+// The prefill model finds an engine's coefficients from noisy samples.
+func TestPrefillModelLearns(t *testing.T) {
 	tests := []struct {
 		name     string
 		base     time.Duration
@@ -239,8 +240,8 @@
 		perPair  float64
 	}{
 		{"fast", 22 * time.Millisecond, 16_340, 0.4},
-		{"slow, and attention is dear", 60 * time.Millisecond, 100_000, 2},
-		{"attention costs nothing", 10 * time.Millisecond, 20_000, 0},
+		{"slow, expensive attention", 60 * time.Millisecond, 100_000, 2},
+		{"free attention", 10 * time.Millisecond, 20_000, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -249,27 +250,27 @@
 				f := featuresOf(unread, prompt, 0)
 				return time.Duration(f[1]*tokenScale*tt.perToken + f[2]*pairScale*tt.perPair)
 			}
-			r := newReading()
+			r := newPrefillModel()
 			for range 2000 {
 				prompt := sumachead.Tokens(200 + g.ExpFloat64()*6000)
 				unread := prompt - sumachead.Tokens(g.Float64()*float64(prompt)/2)
 				noise := 1 + 0.2*g.NormFloat64()
-				r.Note(unread, prompt, 0, time.Duration(noise*float64(tt.base+truth(unread, prompt))))
+				r.Observe(unread, prompt, 0, time.Duration(noise*float64(tt.base+truth(unread, prompt))))
 			}
 			for _, n := range []sumachead.Tokens{2000, 10_000, 30_000} {
-				want, got := tt.base+truth(n, n), r.Base()+r.Time(n, n)
+				want, got := tt.base+truth(n, n), r.Base()+r.PrefillTime(n, n)
 				if ratio := float64(got) / float64(want); ratio < 0.8 || ratio > 1.25 {
-					t.Errorf("%d tokens: expected %v, takes %v", n, got, want)
+					t.Errorf("%d tokens: predicted %v, want %v", n, got, want)
 				}
 			}
 		})
 	}
 }
 
-// A choice among many servers allocates nothing for each of them, and takes a few
-// microseconds: a look at each server in search of the homes of a prompt, and an estimate of
-// a few. With an estimate of every server a choice took 5.3 us among 12, 21 us among 60, and
-// 0.7 ms among 1,900 (worked out); it takes 5.0, 7.1 and 19 us.
+// A scheduling decision allocates nothing per server and takes a few microseconds: a look at
+// each server in search of the preferred ones, and an estimate of a few. With an estimate of
+// every server a decision took 5.3 us among 12, 21 us among 60, and 0.7 ms (extrapolated) among
+// 1,900; it takes 5.0, 7.1 and 19 us.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{12, 60, 160, 1900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -299,14 +300,14 @@
 	}
 }
 
-// Servers that want nothing are passed over, however many there are; who finds none is told
-// when the first may be sent to again.
-func TestServersThatRestArePassedOver(t *testing.T) {
+// Servers in backoff are excluded, however many there are; if all are, the scheduler tells when
+// the first backoff ends.
+func TestServersInBackoffAreExcluded(t *testing.T) {
 	now := time.Now()
 	tests := []struct {
 		name  string
 		count int
-	}{{"few, all of them asked", 3}, {"some, all of them weighed", 12}, {"many, some drawn", 200}}
+	}{{"few, all queried", 3}, {"some, all ranked", 12}, {"many, some sampled", 200}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var names []string
@@ -331,19 +332,19 @@
 				}
 			}
 			if at := c.RestEnds(servers, nil, now); !at.IsZero() {
-				t.Errorf("one does not rest, and rests end at %v", at.Sub(now))
+				t.Errorf("backoff ends after %v although one server is not in backoff", at.Sub(now))
 			}
 			if l := choose("s0"); l != nil {
-				t.Errorf("placed at %s, which rests", l.Record.GetId())
+				t.Errorf("placed at %s, which is in backoff", l.Record.GetId())
 			}
 			if at := c.RestEnds(servers, []sumachead.ServerID{"s0"}, now); at.Sub(now) != shortest {
-				t.Errorf("the first rest ends after %v", at.Sub(now))
+				t.Errorf("the first backoff ends after %v", at.Sub(now))
 			}
 			if at := c.FreeAt(servers, now); !at.Equal(now) {
-				t.Errorf("one is free after %v", at.Sub(now))
+				t.Errorf("the server that is not in backoff is available after %v", at.Sub(now))
 			}
 			if at := c.FreeAt(servers[1:], now); at.Sub(now) != shortest {
-				t.Errorf("the first that rests is free after %v", at.Sub(now))
+				t.Errorf("the first server in backoff is available after %v", at.Sub(now))
 			}
 		})
 	}
--- a/internal/place/gauge.go
+++ b/internal/place/gauge.go
@@ -10,104 +10,104 @@
 	"sumachead/internal/moment"
 )
 
-// keptServers is how many lives of servers a gauge knows: that of the engine beside it, the
-// one before it, and some that other routers take for it.
-const keptServers = 4
+// maxIncarnations is how many incarnations of servers a load tracker keeps: the engine beside
+// it, its predecessor, and some that other routers take for it.
+const maxIncarnations = 4
 
 const (
-	// holdersTold is how many other servers a home names for a part: the newest ones, of
-	// which some may be busy.
-	holdersTold = 2
-	// holderLives is for how long a server is expected to keep a part that no prompt has
-	// brought there again: engines read their whole memory anew within some tens of
-	// seconds.
-	holderLives = 20 * time.Second
-	// elsewhereMost bounds the parts of which a home knows other holders.
-	elsewhereMost = 2048
+	// maxHolders is how many other servers the load tracker of the preferred server keeps for a
+	// part: the latest ones, as some may be busy.
+	maxHolders = 2
+	// holderTTL is how long a server is expected to cache a part that no prompt has used there
+	// again: the cache of an engine turns over within some tens of seconds.
+	holderTTL = 20 * time.Second
+	// maxTrackedParts bounds the parts whose other holders are kept.
+	maxTrackedParts = 2048
 )
 
-// The gauge of a prompt's home also knows at which other engines the prompt's shared parts
-// were read while the home was busy: routers tell it, and the next one finds them there.
-// Without that, 24 million tokens of shared parts were read again on a day with 106 million
-// that were read; with it 18 million, and where there are 12 engines prices fell from 0.083
-// to 0.065 of the worth (means of five days).
+// The load tracker of a prompt's preferred server also knows which other engines have prefilled
+// the prompt's shared parts while the preferred one was busy: routers report it, and the next
+// router finds the parts there. Without that, 24 million tokens of shared parts were recomputed
+// on a day with 106 million prefilled tokens, and 18 million with it; with 12 engines
+// these costs fell from 0.083 to 0.065 of the goodput (means of five days).
 
-// Gauge knows what all routers have under way at the engine beside it. What it is told is
-// there when the next router asks, however many routers there are: an exchange among them
-// takes longer the more there are, and longer than a prompt takes from some dozens on. It
-// is safe for concurrent use; the zero value is ready.
+// LoadTracker tracks the requests of all routers that are in flight at the engine beside it. An
+// update is visible to the next query regardless of the number of routers, whereas an exchange
+// among routers takes longer the more there are: with some dozens, longer than a prefill. It is
+// safe for concurrent use; the zero value is ready.
 type Gauge struct {
-	mu      sync.Mutex // guards the fields below, and what servers hold
-	servers map[sumachead.ServerID]*gauged
+	mu      sync.Mutex // guards the fields below and the fields of servers
+	servers map[sumachead.ServerID]*trackedServer
 }
 
-// gauged is one life of the engine.
-type gauged struct {
+// trackedServer is the state of one incarnation of the engine.
+type trackedServer struct {
 	*server
-	told map[runKey]*Placement
-	// elsewhere are the other servers at which prompts were read of which this one is the
-	// home, by the last shared part, newest last.
-	elsewhere map[partKey][]holder
-	// rests is until when the engine wants nothing from routers that it has asked for rest.
-	rests map[string]time.Time
+	requests map[requestKey]*Placement
+	// otherHolders holds, by the last shared part, the other servers that have prefilled prompts
+	// for which this one is the preferred server, latest last.
+	otherHolders map[partKey][]partHolder
+	// backoffs holds, by router, until when the engine asked it to back off.
+	backoffs map[string]time.Time
 }
 
-// holder is a server that has read a part.
-type holder struct {
-	server string
-	at     time.Time
+// partHolder is a server that has prefilled a part.
+type partHolder struct {
+	server      string
+	prefilledAt time.Time
 }
 
-// runKey names a request: the router's life, and a number within it.
-type runKey struct {
+// requestKey identifies a request by the router's incarnation and a number within it.
+type requestKey struct {
 	router string
 	number uint64
 }
 
-// Answer returns what a router asks of a server.
+// Query returns the state of a server to a router.
 func (g *Gauge) Answer(q *wire.GaugeQuestion, now time.Time) *wire.GaugeAnswer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.server(sumachead.ServerID(q.GetServer()), now)
 	s.expire(now)
 	return &wire.GaugeAnswer{
-		Load: s.load(q.GetRouter(), now), Parts: s.held(q.GetParts()), FactorThousandths: int64(s.factor * thousand),
-		Elsewhere: s.holders(q.GetParts(), now), RestMillis: s.restOfAll(now).Milliseconds(),
+		Load: s.loadFor(q.GetRouter(), now), Parts: s.cachedParts(q.GetParts()), FactorThousandths: int64(s.slowdown * wireScale),
+		Elsewhere: s.holders(q.GetParts(), now), RestMillis: s.sharedBackoff(now).Milliseconds(),
 	}
 }
 
-// Note takes in what a router tells, in its order.
+// Update applies a router's updates in their order.
 func (g *Gauge) Note(n *wire.GaugeNotes, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.server(sumachead.ServerID(n.GetServer()), now)
 	for _, x := range n.GetNotes() {
-		s.note(n.GetRouter(), x, now)
+		s.apply(n.GetRouter(), x, now)
 	}
 }
 
-// server returns a life of the engine. The caller holds mu.
-func (g *Gauge) server(id sumachead.ServerID, now time.Time) *gauged {
+// server returns the state of an incarnation of the engine and creates it if it is missing. The
+// caller holds mu.
+func (g *Gauge) server(id sumachead.ServerID, now time.Time) *trackedServer {
 	if g.servers == nil {
-		g.servers = make(map[sumachead.ServerID]*gauged)
+		g.servers = make(map[sumachead.ServerID]*trackedServer)
 	}
 	s := g.servers[id]
 	if s == nil {
-		s = &gauged{server: newServer(id), told: make(map[runKey]*Placement), elsewhere: make(map[partKey][]holder)}
+		s = &trackedServer{server: newServer(id), requests: make(map[requestKey]*Placement), otherHolders: make(map[partKey][]partHolder)}
 		g.servers[id] = s
 	}
 	s.usedAt = now
-	g.trim()
+	g.evictOldest()
 	return s
 }
 
-// trim forgets the life that was not used for longest where there are too many. The caller
-// holds mu.
-func (g *Gauge) trim() {
-	if len(g.servers) <= keptServers {
+// evictOldest drops the least recently used incarnation if there are too many. The caller holds
+// mu.
+func (g *Gauge) evictOldest() {
+	if len(g.servers) <= maxIncarnations {
 		return
 	}
-	var oldest *gauged
+	var oldest *trackedServer
 	for _, s := range g.servers {
 		if oldest == nil || s.usedAt.Before(oldest.usedAt) {
 			oldest = s
@@ -116,50 +116,51 @@
 	delete(g.servers, oldest.id)
 }
 
-// note takes in one note of a router.
-func (s *gauged) note(router string, n *wire.GaugeNote, now time.Time) {
+// apply applies one update of a router.
+func (s *trackedServer) apply(router string, n *wire.GaugeNote, now time.Time) {
 	switch x := n.GetNote().(type) {
 	case *wire.GaugeNote_Run:
 		s.begin(router, x.Run, now)
 	case *wire.GaugeNote_Read:
-		if l := s.told[runKey{router, x.Read.GetNumber()}]; l != nil && l.firstAt.IsZero() {
-			l.firstAt = now
-			s.noteSpeed(l.backlog+l.read, time.Duration(x.Read.GetTookMicros())*time.Microsecond)
-			s.read(now)
+		if l := s.requests[requestKey{router, x.Read.GetNumber()}]; l != nil && l.firstEventAt.IsZero() {
+			l.firstEventAt = now
+			s.updateSlowdown(l.backlog+l.prefill, time.Duration(x.Read.GetTookMicros())*time.Microsecond)
+			s.updateBacklog(now)
 		}
 	case *wire.GaugeNote_Late:
-		if l := s.told[runKey{router, x.Late}]; l != nil {
+		if l := s.requests[requestKey{router, x.Late}]; l != nil {
 			l.late = true
 		}
 	case *wire.GaugeNote_NotRun:
-		if l := s.told[runKey{router, x.NotRun}]; l != nil {
-			s.unbring(l)
+		if l := s.requests[requestKey{router, x.NotRun}]; l != nil {
+			s.removeAddedParts(l)
 		}
 	case *wire.GaugeNote_RestMillis:
-		s.noteRest(router, time.Duration(x.RestMillis)*time.Millisecond, now)
+		s.recordBackoff(router, time.Duration(x.RestMillis)*time.Millisecond, now)
 	case *wire.GaugeNote_Ended:
-		s.end(runKey{router, x.Ended}, now)
+		s.end(requestKey{router, x.Ended}, now)
 	case *wire.GaugeNote_Elsewhere:
-		s.noteHolder(partKey(x.Elsewhere.GetPart()), x.Elsewhere.GetServer(), now)
+		s.recordHolder(partKey(x.Elsewhere.GetPart()), x.Elsewhere.GetServer(), now)
 	}
 }
 
-// noteRest notes that the engine wants nothing from a router for a time.
-func (s *gauged) noteRest(router string, rest time.Duration, now time.Time) {
-	if s.rests == nil {
-		s.rests = make(map[string]time.Time)
+// recordBackoff records that the engine asked a router to back off for a time.
+func (s *trackedServer) recordBackoff(router string, backoff time.Duration, now time.Time) {
+	if s.backoffs == nil {
+		s.backoffs = make(map[string]time.Time)
 	}
-	s.rests[router] = moment.Later(s.rests[router], now.Add(rest))
+	s.backoffs[router] = moment.Later(s.backoffs[router], now.Add(backoff))
 }
 
-// restOfAll returns for how much longer all routers should prefer other engines: as long as it
-// rests from two of them. One alone may be asked since it sends too much.
-func (s *gauged) restOfAll(now time.Time) time.Duration {
+// sharedBackoff returns for how much longer all routers should avoid the engine: as long as at
+// least two routers are asked to back off. A single one may be asked because it sends too much
+// itself.
+func (s *trackedServer) sharedBackoff(now time.Time) time.Duration {
 	var longest, second time.Duration
-	for router, to := range s.rests {
+	for router, to := range s.backoffs {
 		left := to.Sub(now)
 		if left <= 0 {
-			delete(s.rests, router)
+			delete(s.backoffs, router)
 			continue
 		}
 		second = max(second, min(left, longest))
@@ -168,70 +169,70 @@
 	return second
 }
 
-// noteHolder notes that a part is read at another server.
-func (s *gauged) noteHolder(k partKey, server string, now time.Time) {
-	if len(s.elsewhere) >= elsewhereMost && s.elsewhere[k] == nil {
-		clear(s.elsewhere) // it fills again with what is in use
+// recordHolder records that another server has prefilled a part.
+func (s *trackedServer) recordHolder(k partKey, server string, now time.Time) {
+	if len(s.otherHolders) >= maxTrackedParts && s.otherHolders[k] == nil {
+		clear(s.otherHolders) // entries in use are added again
 	}
-	hs := slices.DeleteFunc(s.elsewhere[k], func(h holder) bool { return h.server == server })
-	hs = append(hs, holder{server, now})
-	s.elsewhere[k] = hs[max(len(hs)-holdersTold, 0):]
+	hs := slices.DeleteFunc(s.otherHolders[k], func(h partHolder) bool { return h.server == server })
+	hs = append(hs, partHolder{server, now})
+	s.otherHolders[k] = hs[max(len(hs)-maxHolders, 0):]
 }
 
-// holders returns the other servers that should have the last shared part of a prompt,
-// newest first.
-func (s *gauged) holders(keys []uint64, now time.Time) []string {
-	if len(keys) < leastShared {
+// holders returns the other servers that should have the last shared part of a prompt cached,
+// latest first.
+func (s *trackedServer) holders(keys []uint64, now time.Time) []string {
+	if len(keys) < minPartsToShare {
 		return nil
 	}
 	var out []string
-	for _, h := range slices.Backward(s.elsewhere[partKey(keys[len(keys)-leastShared])]) {
-		if now.Sub(h.at) < holderLives {
+	for _, h := range slices.Backward(s.otherHolders[partKey(keys[len(keys)-minPartsToShare])]) {
+		if now.Sub(h.prefilledAt) < holderTTL {
 			out = append(out, h.server)
 		}
 	}
 	return out
 }
 
-// begin counts a request.
-func (s *gauged) begin(router string, r *wire.GaugeRun, now time.Time) {
+// begin adds a request.
+func (s *trackedServer) begin(router string, r *wire.GaugeRun, now time.Time) {
 	l := &Placement{
-		server: s.server, router: router, number: r.GetNumber(), worth: worth(r.GetWorth()), begun: now,
-		work: &Work{
+		server: s.server, router: router, number: r.GetNumber(), value: requestValue(r.GetWorth()), startedAt: now,
+		request: &Work{
 			Pause:    time.Duration(r.GetPauseMillis()) * time.Millisecond,
 			Deadline: now.Add(time.Duration(r.GetDeadlineMicros()) * time.Microsecond),
 		},
-		estimate: estimate{read: time.Duration(r.GetReadMicros()) * time.Microsecond, backlog: s.backlog(now)},
+		estimate: estimate{prefill: time.Duration(r.GetReadMicros()) * time.Microsecond, backlog: s.backlog(now)},
 	}
-	s.told[runKey{router, r.GetNumber()}] = l
-	s.runs = append(s.runs, l)
-	s.busyUntil = moment.Later(s.busyUntil, now).Add(l.read)
-	s.long.add(float64(r.GetLongThousandths())/thousand, now, longMemory)
+	s.requests[requestKey{router, r.GetNumber()}] = l
+	s.inFlight = append(s.inFlight, l)
+	s.prefillDoneAt = moment.Later(s.prefillDoneAt, now).Add(l.prefill)
+	s.stalls.add(float64(r.GetLongThousandths())/wireScale, now, stallDecayTime)
 	for _, k := range r.GetParts() {
-		l.bring(partKey(k), now)
+		l.addPart(partKey(k), now)
 	}
 }
 
-// end takes a request off.
-func (s *gauged) end(k runKey, now time.Time) {
-	if l := s.told[k]; l != nil {
-		delete(s.told, k)
-		s.drop(l, now)
+// end removes a request.
+func (s *trackedServer) end(k requestKey, now time.Time) {
+	if l := s.requests[k]; l != nil {
+		delete(s.requests, k)
+		s.remove(l, now)
 	}
 }
 
-// expire takes off requests whose callers' time is over: their routers have ended without
-// a word.
-func (s *gauged) expire(now time.Time) {
-	for k, l := range s.told {
-		if now.After(l.work.Deadline) {
+// expire removes requests whose deadline has passed: their routers have ended without reporting
+// the end.
+func (s *trackedServer) expire(now time.Time) {
+	for k, l := range s.requests {
+		if now.After(l.request.Deadline) {
 			s.end(k, now)
 		}
 	}
 }
 
-// held returns how many parts are there, from the first on.
-func (s *gauged) held(keys []uint64) uint32 {
+// cachedParts returns how many leading parts are cached.
+func (s *trackedServer) cachedParts(keys []uint64) uint32 {
 	var n uint32
 	for _, k := range keys {
 		if _, ok := s.parts[partKey(k)]; !ok {
--- a/internal/place/gauge_test.go
+++ b/internal/place/gauge_test.go
@@ -12,19 +12,19 @@
 	"sumachead/api/wire"
 )
 
-// beside connects a router's chooser with the gauges beside engines, without a network.
-type beside struct {
+// testRouter connects a router's scheduler with the load trackers of engines, without a network.
+type testRouter struct {
 	*Chooser
-	life   string
-	gauges map[string]*Gauge
-	now    func() time.Time
-	// toldOfRest counts the answers that told of a rest.
-	toldOfRest int
+	incarnation string
+	trackers    map[string]*Gauge
+	now         func() time.Time
+	// backoffReports counts the query results that contained a backoff.
+	backoffReports int
 }
 
-// newBeside returns a router that asks gauges and tells them.
-func newBeside(life string, hall sumachead.HallID, gauges map[string]*Gauge, now func() time.Time) *beside {
-	b := &beside{Chooser: trained(hall), life: life, gauges: gauges, now: now}
+// newTestRouter returns a router that queries and updates load trackers.
+func newTestRouter(life string, hall sumachead.HallID, gauges map[string]*Gauge, now func() time.Time) *testRouter {
+	b := &testRouter{Chooser: trained(hall), incarnation: life, trackers: gauges, now: now}
 	b.Tell = func(r *wire.ServerRecord, n *wire.GaugeNote) {
 		if g := gauges[r.GetId()]; g != nil {
 			g.Note(&wire.GaugeNotes{Router: life, Server: r.GetId(), Notes: []*wire.GaugeNote{n}}, now())
@@ -33,29 +33,30 @@
 	return b
 }
 
-// choose places a request as a router does: among few that were not tried, which are asked first.
-func (b *beside) choose(servers []*wire.ServerRecord, tried []sumachead.ServerID, w *Work) *Placement {
-	few := b.Candidates(servers, tried, w, b.now())
-	b.ask(few, w)
-	more := b.Further(servers, few, tried, w, b.now())
+// choose places a request as a router does: it queries a few candidates that were not tried, and
+// then schedules.
+func (b *testRouter) choose(servers []*wire.ServerRecord, tried []sumachead.ServerID, w *Work) *Placement {
+	candidates := b.Candidates(servers, tried, w, b.now())
+	b.ask(candidates, w)
+	more := b.Further(servers, candidates, tried, w, b.now())
 	b.ask(more, w)
-	return b.Place(append(few, more...), tried, w, b.now())
+	return b.Place(append(candidates, more...), tried, w, b.now())
 }
 
-// ask takes in what the gauges of some servers answer.
-func (b *beside) ask(few []*wire.ServerRecord, w *Work) {
-	for _, r := range few {
-		if g := b.gauges[r.GetId()]; g != nil {
-			a := g.Answer(&wire.GaugeQuestion{Router: b.life, Server: r.GetId(), Parts: w.Keys()}, b.now())
+// ask applies the reports of some servers' load trackers.
+func (b *testRouter) ask(servers []*wire.ServerRecord, w *Work) {
+	for _, r := range servers {
+		if g := b.trackers[r.GetId()]; g != nil {
+			a := g.Answer(&wire.GaugeQuestion{Router: b.incarnation, Server: r.GetId(), Parts: w.Keys()}, b.now())
 			if a.GetRestMillis() > 0 {
-				b.toldOfRest++
+				b.backoffReports++
 			}
 			b.Told(sumachead.ServerID(r.GetId()), w, a, b.now())
 		}
 	}
 }
 
-// manyEngines returns engines of one data hall with their gauges.
+// manyEngines returns engines of one data hall with their load trackers.
 func manyEngines(n int) ([]*wire.ServerRecord, map[string]*Gauge) {
 	var ids []string
 	gauges := make(map[string]*Gauge)
@@ -70,54 +71,54 @@
 	return servers, gauges
 }
 
-// A prompt whose homes are busy is read elsewhere, and the next router finds it there: the
-// gauge of the home tells.
+// A prompt whose preferred servers are busy is prefilled elsewhere, and the next router finds
+// its parts there through the load tracker of the preferred server.
 func TestHomeTellsWhereElsePartsAre(t *testing.T) {
 	for _, n := range []int{12, 160} {
 		t.Run(fmt.Sprint(n, " servers"), func(t *testing.T) {
 			now := time.Now()
 			servers, gauges := manyEngines(n)
 			clock := func() time.Time { return now }
-			one, other := newBeside("one", "hall-1", gauges, clock), newBeside("other", "hall-1", gauges, clock)
+			one, other := newTestRouter("one", "hall-1", gauges, clock), newTestRouter("other", "hall-1", gauges, clock)
 			w := review(now, 2000)
 			one.Candidates(servers, nil, w, now)
-			home := w.home
-			// Both homes are busy for as long as all of the prompt's time.
+			preferred := w.preferred
+			// Both preferred servers are busy for the whole time that the prompt may take.
 			busy := &wire.GaugeRun{Number: 1, ReadMicros: 5e6, DeadlineMicros: 10e6}
-			for _, id := range []string{home.GetId(), second(one, servers, now)} {
+			for _, id := range []string{preferred.GetId(), second(one, servers, now)} {
 				gauges[id].Note(&wire.GaugeNotes{Router: "third", Server: id, Notes: []*wire.GaugeNote{{Note: &wire.GaugeNote_Run{Run: busy}}}}, now)
 			}
 			first := one.choose(servers, nil, w)
-			if first.Record == home {
-				t.Fatal("sent to a home that is busy")
+			if first.Record == preferred {
+				t.Fatal("sent to a preferred server that is busy")
 			}
-			now = now.Add(600 * time.Millisecond) // it has been read
+			now = now.Add(600 * time.Millisecond) // the prefill has ended
 			first.First(now)
 			next := other.choose(servers, nil, review(now, 500))
-			if diff := cmp.Diff(first.Record.GetId(), next.Record.GetId()); diff != "" || next.again != 0 {
-				t.Errorf("the next one is sent elsewhere and reads %d tokens again (-want +got):\n%s", next.again, diff)
+			if diff := cmp.Diff(first.Record.GetId(), next.Record.GetId()); diff != "" || next.recomputed != 0 {
+				t.Errorf("the next prompt went to another server and recomputes %d tokens (-want +got):\n%s", next.recomputed, diff)
 			}
 		})
 	}
 }
 
-// second returns the second home of a review.
-func second(b *beside, servers []*wire.ServerRecord, now time.Time) string {
+// second returns the second preferred server of a review.
+func second(b *testRouter, servers []*wire.ServerRecord, now time.Time) string {
 	w := review(now, 2000)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := &pick{ring: b.prepare(servers), fit: func(int) bool { return true }}
-	p.homes(homeKey(partsOf(w)), homesAsked)
+	p := &selection{serverIndex: b.indexFor(servers), eligible: func(int) bool { return true }}
+	p.addPreferred(affinityKey(partsOf(w)), preferredCandidates)
 	return servers[p.picked[1]].GetId()
 }
 
-// What one router has sent to a server, another learns when it asks.
+// A router learns from the load tracker what another router has sent to a server.
 func TestGaugeTellsOtherRouters(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
 	servers := engines("a")
 	g := map[string]*Gauge{"a": {}}
-	one, other := newBeside("one", "hall-1", g, clock), newBeside("other", "hall-1", g, clock)
+	one, other := newTestRouter("one", "hall-1", g, clock), newTestRouter("other", "hall-1", g, clock)
 	l := one.choose(servers, nil, chat(now))
 	m := one.choose(servers, nil, chat(now))
 	m.Late()
@@ -127,10 +128,10 @@
 	load := ask("other").GetLoad()
 	want := &wire.ServerLoad{Running: 2, AtRisk: 9800, PauseMillis: 500, ReadMillis: load.GetReadMillis()}
 	if diff := cmp.Diff(want, load, protocmp.Transform()); diff != "" || load.GetReadMillis() <= 0 {
-		t.Fatalf("told another router (-want +got):\n%s", diff)
+		t.Fatalf("load reported to another router (-want +got):\n%s", diff)
 	}
 	if got := ask("one").GetLoad(); got.GetRunning() != 0 || got.GetReadMillis() != load.GetReadMillis() {
-		t.Errorf("a router was told its own requests, or not for how long the engine reads: %v", got)
+		t.Errorf("the load reported to a router contains its own requests, or not the backlog: %v", got)
 	}
 	other.choose(servers, nil, chat(now))
 	if got := other.server("a").backlog(now); got < time.Duration(load.GetReadMillis())*time.Millisecond {
@@ -140,13 +141,13 @@
 	l.Done(true, now)
 	m.Cancel(now)
 	if got := ask("third").GetLoad(); got.GetRunning() != 1 {
-		t.Errorf("%d requests are left", got.GetRunning())
+		t.Errorf("%d requests are still counted", got.GetRunning())
 	}
 }
 
-// Shared parts that a server has read for one router are found by another, and so is that
-// they are not there.
-func TestGaugeKnowsParts(t *testing.T) {
+// A router learns which shared parts a server has cached for another router, and which it has
+// not.
+func TestLoadTrackerKnowsParts(t *testing.T) {
 	now := time.Now()
 	g := &Gauge{}
 	w := review(now, 2000)
@@ -159,29 +160,29 @@
 		keys []uint64
 		want uint32
 	}{
-		{"those before the own part", keys, 2},
-		{"the first is another", append([]uint64{7}, keys[1:]...), 0},
-		{"none asked for", nil, 0},
+		{"parts before the own one", keys, 2},
+		{"another first part", append([]uint64{7}, keys[1:]...), 0},
+		{"no parts in the query", nil, 0},
 	}
 	for _, tt := range tests {
 		if diff := cmp.Diff(tt.want, g.Answer(&wire.GaugeQuestion{Router: "two", Server: "a", Parts: tt.keys}, now).GetParts()); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", tt.name, diff)
 		}
 	}
-	if got := g.Answer(&wire.GaugeQuestion{Router: "two", Server: "next life", Parts: keys}, now).GetParts(); got != 0 {
-		t.Errorf("an engine's next life has %d parts", got)
+	if got := g.Answer(&wire.GaugeQuestion{Router: "two", Server: "next incarnation", Parts: keys}, now).GetParts(); got != 0 {
+		t.Errorf("an engine's next incarnation has %d parts", got)
 	}
 	c := trained("hall-1")
-	c.server("a").bring(partKey(keys[1]), now)
-	c.Told("a", w, &wire.GaugeAnswer{Parts: 1, FactorThousandths: thousand}, now)
-	if got := c.server("a").cached(partsOf(w)); got != w.Parts[0].Tokens {
-		t.Errorf("%d tokens count as kept where the gauge knows of the first part only", got)
+	c.server("a").addPart(partKey(keys[1]), now)
+	c.Told("a", w, &wire.GaugeAnswer{Parts: 1, FactorThousandths: wireScale}, now)
+	if got := c.server("a").cachedTokens(partsOf(w)); got != w.Parts[0].Tokens {
+		t.Errorf("%d tokens count as cached although the load tracker knows only the first part", got)
 	}
 }
 
-// A router that ended without a word is forgotten with its callers' deadlines, and an engine
-// that is slow is known as slow to routers that never used it.
-func TestGaugeForgetsAndLearnsSpeed(t *testing.T) {
+// Requests of a router that ended without reporting it are removed at their deadlines, and the
+// slowdown of an engine is known to routers that never used it.
+func TestLoadTrackerExpiresRequestsAndLearnsSpeed(t *testing.T) {
 	now := time.Now()
 	g := &Gauge{}
 	const reads = 100 * time.Millisecond
@@ -193,74 +194,75 @@
 		}}, now)
 	}
 	q := &wire.GaugeQuestion{Router: "two", Server: "a"}
-	if a := g.Answer(q, now); a.GetLoad().GetRunning() != 30 || a.GetFactorThousandths() < 2*thousand {
-		t.Errorf("answered %v", a)
+	if a := g.Answer(q, now); a.GetLoad().GetRunning() != 30 || a.GetFactorThousandths() < 2*wireScale {
+		t.Errorf("got %v", a)
 	}
 	if a := g.Answer(q, now.Add(2*time.Second)); a.GetLoad().GetRunning() != 0 {
-		t.Errorf("%d requests after their deadlines", a.GetLoad().GetRunning())
+		t.Errorf("%d requests are counted after their deadlines", a.GetLoad().GetRunning())
 	}
 }
 
-// Of more lives than are kept, the one that was not used for longest is forgotten, never the
-// one that is told of just now.
-func TestGaugeKeepsTheLifeInUse(t *testing.T) {
+// If there are more incarnations than are kept, the least recently used one is dropped, never
+// the one that is being updated. The incarnations are in a map, so that the order of iteration
+// must not matter.
+func TestLoadTrackerKeepsRecentIncarnations(t *testing.T) {
 	now := time.Now()
-	for range 50 { // the lives are in a map, in no order
+	for range 50 { // the order of map iteration varies
 		g := &Gauge{}
-		for i := range keptServers + 1 {
+		for i := range maxIncarnations + 1 {
 			id := fmt.Sprint("life-", i)
 			now = now.Add(time.Second)
 			run := &wire.GaugeRun{Number: 1, DeadlineMicros: time.Minute.Microseconds()}
 			g.Note(&wire.GaugeNotes{Router: "one", Server: id, Notes: []*wire.GaugeNote{{Note: &wire.GaugeNote_Run{Run: run}}}}, now)
 			if n := g.Answer(&wire.GaugeQuestion{Router: "two", Server: id}, now).GetLoad().GetRunning(); n != 1 {
-				t.Fatalf("%s was forgotten as it was told of", id)
+				t.Fatalf("%s was dropped while it was being updated", id)
 			}
 		}
-		if g.servers["life-0"] != nil || len(g.servers) != keptServers {
-			t.Fatalf("%d lives are kept, the oldest: %t", len(g.servers), g.servers["life-0"] != nil)
+		if g.servers["life-0"] != nil || len(g.servers) != maxIncarnations {
+			t.Fatalf("%d incarnations are kept, the oldest: %t", len(g.servers), g.servers["life-0"] != nil)
 		}
 	}
 }
 
-// A prompt that an engine has not run, since it turned the request away or the request was not
-// sent there in the end, has brought no parts there: neither its router nor others expect them,
-// but for those that another prompt has brought as well.
+// A prompt that an engine has not run, because it rejected the request or the request was not
+// sent after all, has added no parts to the cache: neither its router nor others expect them
+// there, except for those that another prompt has added as well.
 func TestPromptThatDidNotRunHasBroughtNothing(t *testing.T) {
 	now := time.Now()
 	servers, gauges := manyEngines(3)
 	clock := func() time.Time { return now }
-	one, other := newBeside("one", "hall-1", gauges, clock), newBeside("other", "hall-1", gauges, clock)
+	one, other := newTestRouter("one", "hall-1", gauges, clock), newTestRouter("other", "hall-1", gauges, clock)
 	w := review(now, 2000)
 	parts := partsOf(w)
-	believed := func(b *beside, id string) sumachead.Tokens {
+	believed := func(b *testRouter, id string) sumachead.Tokens {
 		for _, r := range servers {
 			if r.GetId() == id {
 				b.ask([]*wire.ServerRecord{r}, w)
 			}
 		}
-		return b.server(sumachead.ServerID(id)).cached(parts)
+		return b.server(sumachead.ServerID(id)).cachedTokens(parts)
 	}
 	l := one.choose(servers, nil, w)
 	id := l.Record.GetId()
-	if got := believed(one, id); got != total(parts) {
-		t.Fatalf("%d tokens are expected there while it is under way, want %d", got, total(parts))
+	if got := believed(one, id); got != totalTokens(parts) {
+		t.Fatalf("%d tokens are expected to be cached while the request is in flight, want %d", got, totalTokens(parts))
 	}
 	l.NotRun(now)
-	for name, b := range map[string]*beside{"its router": one, "another router": other} {
+	for name, b := range map[string]*testRouter{"its router": one, "another router": other} {
 		if got := believed(b, id); got != 0 {
-			t.Errorf("%s expects %d tokens there", name, got)
+			t.Errorf("%s expects %d cached tokens", name, got)
 		}
 	}
 	if n := one.server(sumachead.ServerID(id)).running(now); n != 0 {
-		t.Errorf("%d requests are under way there", n)
+		t.Errorf("%d requests are in flight there", n)
 	}
-	// Another prompt with the same parts has begun after it.
+	// Another prompt with the same parts starts after it.
 	now = now.Add(time.Millisecond)
 	l = one.choose(servers, nil, w)
 	now = now.Add(time.Millisecond)
 	m := one.Place([]*wire.ServerRecord{l.Record}, nil, review(now, 2000), now)
 	l.NotRun(now)
-	if got := believed(other, m.Record.GetId()); got != total(parts) {
-		t.Errorf("%d tokens are expected of a prompt that runs there, want %d", got, total(parts))
+	if got := believed(other, m.Record.GetId()); got != totalTokens(parts) {
+		t.Errorf("%d cached tokens are expected of a prompt that runs there, want %d", got, totalTokens(parts))
 	}
 }
--- a/internal/place/hash.go
+++ b/internal/place/hash.go
@@ -8,7 +8,7 @@
 	"sumachead"
 )
 
-// score ranks a server for a prefix.
+// score ranks a server for a prompt prefix.
 func score(prefix uint64, s sumachead.ServerID) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], prefix)
--- a/internal/place/limits_test.go
+++ b/internal/place/limits_test.go
@@ -10,18 +10,19 @@
 	"sumachead/internal/ratelimit"
 )
 
-// limitsPlayed is what came of requests while some engines limited theirs.
-type limitsPlayed struct {
+// limitResult counts the outcomes of requests while some engines limited theirs.
+type limitResult struct {
 	requests, late int
-	// limited are the requests that engines with a limit received, and tokens their prompts.
+	// limited counts the requests that engines with a limit received, and tokens the tokens of
+	// their prompts.
 	limited int
 	tokens  sumachead.Tokens
 }
 
-// playLimits sends requests at a rate for some seconds; the first engines take a number of requests
-// a second. With larger, smaller requests leave these to larger ones.
-func (f *playedFleet) playLimits(rate float64, lasts time.Duration, engines int, limit sumachead.RequestRate, larger bool) (p limitsPlayed) {
-	end := f.now.Add(lasts)
+// simulateLimits sends requests at a rate for some seconds; the first engines accept a number of
+// requests per second. With larger, smaller requests leave these engines to larger ones.
+func (f *simulatedFleet) simulateLimits(rate float64, duration time.Duration, engines int, limit sumachead.RequestRate, larger bool) (p limitResult) {
+	end := f.now.Add(duration)
 	permits := &ratelimit.Permits{Since: f.now.Add(-time.Minute)}
 	limited := make(map[sumachead.ServerID]bool)
 	for _, r := range f.servers[:engines] {
@@ -41,21 +42,21 @@
 			l := f.routers[n].choose(f.servers, nil, w)
 			id := sumachead.ServerID(l.Record.GetId())
 			if limited[id] {
-				granted, again := permits.Admit(string(id), ratelimit.BoundOf(limit), 0, f.now)
+				granted, retryAfter := permits.Admit(string(id), ratelimit.BoundOf(limit), 0, f.now)
 				if !granted {
-					denied[n][id] = f.now.Add(again)
+					denied[n][id] = f.now.Add(retryAfter)
 					l.NotRun(f.now)
 					continue
 				}
 				p.limited++
 				p.tokens += w.Prompt
 			}
-			first := f.read(string(id), w)
+			first := f.prefill(string(id), w)
 			if first.After(w.FirstBy) {
 				p.late++
 			}
-			heap.Push(&f.events, playedEvent{first, func() { l.First(f.now) }})
-			heap.Push(&f.events, playedEvent{first.Add(time.Second), func() { l.Done(true, f.now) }})
+			heap.Push(&f.events, simulatedEvent{first, func() { l.First(f.now) }})
+			heap.Push(&f.events, simulatedEvent{first.Add(time.Second), func() { l.Done(true, f.now) }})
 			return
 		}
 	}
@@ -67,19 +68,19 @@
 		p.requests++
 		send(f.rand.IntN(len(f.routers)), f.request())
 		next := time.Duration(f.rand.ExpFloat64() / rate * float64(time.Second))
-		heap.Push(&f.events, playedEvent{f.now.Add(next), arrive})
+		heap.Push(&f.events, simulatedEvent{f.now.Add(next), arrive})
 	}
-	heap.Push(&f.events, playedEvent{f.now, arrive})
+	heap.Push(&f.events, simulatedEvent{f.now, arrive})
 	f.runEvents()
 	return p
 }
 
-// A limit counts requests, so that larger ones should use it up.
+// A limit counts requests, so larger requests should use it up.
 func TestLargerRequestsUseTheLimitsOfEngines(t *testing.T) {
 	tests := []struct {
 		name                      string
 		routers, engines, limited int
-		rate                      float64 // requests a second
+		rate                      float64 // requests per second
 	}{
 		{"4 routers", 4, 12, 8, 26},
 		{"24 routers", 24, 47, 32, 105},
@@ -87,11 +88,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			play := func(larger bool) (sum limitsPlayed) {
+			play := func(larger bool) (sum limitResult) {
 				for seed := range uint64(8) {
-					f := newPlayedFleet(tt.routers, tt.engines, true)
+					f := newSimulatedFleet(tt.routers, tt.engines, true)
 					f.rand = rand.New(rand.NewPCG(seed, 7))
-					p := f.playLimits(tt.rate, 15*time.Second, tt.limited, 1, larger)
+					p := f.simulateLimits(tt.rate, 15*time.Second, tt.limited, 1, larger)
 					sum.requests += p.requests
 					sum.late += p.late
 					sum.limited += p.limited
@@ -100,12 +101,12 @@
 				return sum
 			}
 			with, without := play(true), play(false)
-			t.Logf("larger ones first %+v, otherwise %+v", with, without)
+			t.Logf("reserved for larger requests %+v, not reserved %+v", with, without)
 			if with.late*10 > without.late*8 {
-				t.Errorf("%d of %d requests late, %d where all use the limits alike", with.late, with.requests, without.late)
+				t.Errorf("%d of %d requests late, %d without reservation for larger ones", with.late, with.requests, without.late)
 			}
 			if with.tokens*10 < without.tokens*12 {
-				t.Errorf("limited engines read %d tokens, %d where all use the limits alike", with.tokens, without.tokens)
+				t.Errorf("limited engines prefilled %d tokens, %d without reservation for larger requests", with.tokens, without.tokens)
 			}
 		})
 	}
--- a/internal/place/objective.go
+++ b/internal/place/objective.go
@@ -8,136 +8,135 @@
 	"sumachead/api/wire"
 )
 
-// worth is what requests in time are worth to their callers, in tokens: a request's
-// size. Callers prepay by tokens, and a larger answer stands for more of their work.
-type worth float64
+// requestValue is the value of requests that meet their objectives, in tokens. It is
+// proportional to request sizes because callers prepay by tokens, and a longer response does
+// more of their work.
+type requestValue float64
 
 const (
-	// answerWeight is what a token of an answer counts in tokens of a prompt: the
-	// users measure a request's size so.
+	// answerWeight is how many prompt tokens one response token counts as: users measure the
+	// size of a request in this way.
 	answerWeight = 10
-	// againWeight is what a token of a shared part that is read again costs: it is as
-	// much work of the engine as a token of a request's own, and serves nobody.
-	againWeight = 1.0
-	// fetchWeight is the same for a token that is fetched from another engine: it
-	// takes no time of the engine's steps, only of the link between them.
+	// recomputeWeight is the cost of prefilling a token of a shared part that another engine has
+	// cached: it takes as much of the engine's time as a token of a request's own part, without
+	// any benefit.
+	recomputeWeight = 1.0
+	// fetchWeight is the cost of a token fetched from another engine: it uses the link between
+	// the engines and none of their compute time.
 	fetchWeight = 0.6
-	// awayWeight is what sending a prompt to another data hall costs: its bytes cost
-	// far less than reading its parts again, so that it decides only between servers
-	// that are alike.
-	awayWeight = 300
-	// waitWeight is what a millisecond until the first event costs while it is in
-	// time: less than anything else, so that it decides only between servers that are
-	// alike.
+	// otherHallPenalty is the cost of sending a prompt to another data hall: the transfer is far
+	// cheaper than recomputing the prompt's parts, so that the penalty only breaks ties.
+	otherHallPenalty = 300
+	// waitWeight is the cost of a millisecond until the first event while that is in time: lower
+	// than all other costs, so that it only breaks ties.
 	waitWeight = 2
 
-	// A first event is late with a probability that rises, ever faster, while its
-	// predicted time goes from the first to the second part of what is left of its
-	// objective; a stream's pause while the predicted reading beside it goes from the
-	// one to the other part of its objective. Both are fitted to some thousand observed
-	// requests: first events come nearly as predicted, and a pause is shorter than the
-	// reading of a very long prompt, which more prompts may prolong.
-	firstFrom, firstTo = 0.6, 1.05
-	pauseFrom, pauseTo = 0.2, 1.6
-	// fullSlots is the part of an engine's slots from which one is expected to have to
-	// be waited for: what other routers have there is known a little late.
-	fullSlots = 0.95
-	// fullPart is the part, in percent, of a plain service's slots that one
-	// router fills before it goes to another data hall.
-	fullPart = 50
+	// The probability that a first event is late rises quadratically while its predicted time
+	// goes from firstEventRiskFrom to firstEventRiskTo of the time left; the probability that a
+	// stream stalls, while the predicted prefill time beside it goes from gapRiskFrom to
+	// gapRiskTo of its maximum event gap. Both are fitted to some thousand observed requests:
+	// first events come nearly as predicted, and the gap is shorter than the prefill of a very
+	// long prompt, which further prompts may prolong.
+	firstEventRiskFrom, firstEventRiskTo = 0.6, 1.05
+	gapRiskFrom, gapRiskTo               = 0.2, 1.6
+	// slotWaitThreshold is the fraction of an engine's slots above which a request is expected
+	// to wait for one: the load of other routers is known with some delay.
+	slotWaitThreshold = 0.95
+	// spilloverPercent is the share of a plain service's slots, in percent, that one router
+	// fills before it sends requests to another data hall.
+	spilloverPercent = 50
 )
 
-// worthOf returns a request's.
-func worthOf(w *Work) worth { return worth(w.Prompt + answerWeight*w.Answer) }
+// valueOf returns the value of a request.
+func valueOf(w *Work) requestValue { return requestValue(w.Prompt + answerWeight*w.Answer) }
 
-// lateFirst returns the probability that a first event predicted to take a time misses
-// what is left of its objective.
-func lateFirst(took, left time.Duration) float64 {
-	return rise(float64(took)/float64(max(left, 1)), firstFrom, firstTo)
+// firstEventMissProbability returns the probability that a first event with a predicted time
+// misses its objective in the time left.
+func firstEventMissProbability(took, left time.Duration) float64 {
+	return quadraticRamp(float64(took)/float64(max(left, 1)), firstEventRiskFrom, firstEventRiskTo)
 }
 
-// latePause returns the probability that a stream beside which prompts are read for a
-// time has a pause above its objective; 0 without an objective.
-func latePause(reading, objective time.Duration) float64 {
+// gapMissProbability returns the probability that prefills of a given duration beside a stream
+// cause a gap above its objective; 0 without an objective.
+func gapMissProbability(prefill, objective time.Duration) float64 {
 	if objective <= 0 {
 		return 0
 	}
-	return rise(float64(reading)/float64(objective), pauseFrom, pauseTo)
+	return quadraticRamp(float64(prefill)/float64(objective), gapRiskFrom, gapRiskTo)
 }
 
-// rise goes from 0 to 1 while x goes between two bounds, ever faster.
-func rise(x, from, to float64) float64 {
+// quadraticRamp rises quadratically from 0 to 1 between two bounds.
+func quadraticRamp(x, from, to float64) float64 {
 	r := min(max((x-from)/(to-from), 0), 1)
 	return r * r
 }
 
-// estimate is what is expected of one request at one engine.
+// estimate is the prediction for one request at one engine.
 type estimate struct {
-	// again are the tokens of shared parts that are to be read there although another
-	// engine has them, and fetched those that are taken over from there.
-	again   sumachead.Tokens
-	fetched sumachead.Tokens
-	// unread is what is to be read.
-	unread sumachead.Tokens
-	// read is how long that takes, and wait the time to the first event.
-	read time.Duration
-	wait time.Duration
-	// backlog is for how long the engine has other prompts to read.
+	// recomputed is how many tokens of shared parts are prefilled there although another engine
+	// has them cached, and fetched how many are fetched from that one.
+	recomputed sumachead.Tokens
+	fetched    sumachead.Tokens
+	// uncached is how many tokens must be prefilled.
+	uncached sumachead.Tokens
+	// prefill is how long that takes, and wait the time to the first event.
+	prefill time.Duration
+	wait    time.Duration
+	// backlog is how long the engine takes for the prefills queued before this one.
 	backlog time.Duration
 }
 
-// cost is the expected loss from sending a request to an engine: its own worth if it is
-// late, that of streams there which it makes late, and the engine's time for what is
-// read again. All terms are in tokens.
-func (c *Chooser) cost(s *server, w *Work, e estimate, away bool, now time.Time) float64 {
-	cost := c.ownLoss(s, w, e, now) + harm(s, e, now) +
-		againWeight*float64(e.again) + fetchWeight*float64(e.fetched) +
+// cost returns the expected loss, in tokens, of sending a request to an engine: the value of the
+// request if it is late, of the streams that it makes late, the prefill of tokens that another
+// engine has cached, and the cost of fetched tokens, of waiting and of another data hall.
+func (c *Chooser) cost(s *server, w *Work, e estimate, otherHall bool, now time.Time) float64 {
+	cost := c.ownLoss(s, w, e, now) + inFlightLoss(s, e, now) +
+		recomputeWeight*float64(e.recomputed) + fetchWeight*float64(e.fetched) +
 		waitWeight*float64(e.wait)/float64(time.Millisecond)
-	if away {
-		cost += awayWeight
+	if otherHall {
+		cost += otherHallPenalty
 	}
 	return cost
 }
 
-// ownLoss is a request's worth times the probability that it is late: by its first
-// event, or by a pause while another long prompt is read beside its stream.
+// ownLoss returns a request's value times the probability that it is late: its first event
+// misses its deadline, or the prefill of a long prompt stalls its stream.
 func (c *Chooser) ownLoss(s *server, w *Work, e estimate, now time.Time) float64 {
 	inTime := 1.0
 	if !w.FirstBy.IsZero() {
-		inTime = 1 - lateFirst(e.wait, w.FirstBy.Sub(now))
+		inTime = 1 - firstEventMissProbability(e.wait, w.FirstBy.Sub(now))
 	}
 	if w.Pause > 0 {
-		inTime *= math.Exp(-s.longRate(now) * c.length(w.Route).Seconds())
+		inTime *= math.Exp(-s.stallRate(now) * c.streamDuration(w.Route).Seconds())
 	}
-	return float64(worthOf(w)) * (1 - inTime)
+	return float64(valueOf(w)) * (1 - inTime)
 }
 
-// harm is the worth of streams at an engine that are late because one more prompt is
-// read there. Streams that are waiting for their own prompts are held up only by what
-// is read after them.
-func harm(s *server, e estimate, now time.Time) float64 {
+// inFlightLoss returns the expected loss of streams at an engine that one more prefill delays. A
+// stream that waits for its own prefill is delayed only by prefills queued after it.
+func inFlightLoss(s *server, e estimate, now time.Time) float64 {
 	var sum float64
-	for _, l := range s.runs {
+	for _, l := range s.inFlight {
 		if !l.inTime() {
 			continue
 		}
 		before := e.backlog
-		if l.firstAt.IsZero() {
-			before = max(s.busyUntil.Sub(l.readBy), 0)
+		if l.firstEventAt.IsZero() {
+			before = max(s.prefillDoneAt.Sub(l.prefillDoneAt), 0)
 		}
-		sum += float64(l.worth) * (latePause(before+e.read, l.work.Pause) - latePause(before, l.work.Pause))
+		sum += float64(l.value) * (gapMissProbability(before+e.prefill, l.request.Pause) - gapMissProbability(before, l.request.Pause))
 	}
-	o := s.othersAt(now)
-	return sum + float64(o.atRisk)*(latePause(e.backlog+e.read, o.pause)-latePause(e.backlog, o.pause))
+	o := s.remoteAt(now)
+	return sum + float64(o.atRisk)*(gapMissProbability(e.backlog+e.prefill, o.gapObjective)-gapMissProbability(e.backlog, o.gapObjective))
 }
 
-// plainCost weighs a server of a plain service by its load in percent of its
-// slots: the own data hall first while it is not too full.
-func plainCost(r *wire.ServerRecord, s *server, away bool) float64 {
+// plainServiceCost returns the load of a server of a plain service in percent of its slots, with
+// a penalty for another data hall.
+func plainServiceCost(r *wire.ServerRecord, s *server, otherHall bool) float64 {
 	slots := max(int(r.GetSlots()), 1)
-	load := len(s.runs) * 100 / slots
-	if away {
-		load += fullPart
+	load := len(s.inFlight) * 100 / slots
+	if otherHall {
+		load += spilloverPercent
 	}
 	return float64(load)
 }
--- a/internal/place/parts.go
+++ b/internal/place/parts.go
@@ -9,11 +9,10 @@
 	"sumachead/api/wire"
 )
 
-// partKey is the hash of a part's id. Two parts with one key would only make a wrong
-// guess of what a server has.
+// partKey is the hash of a part's id. A collision only makes the estimate of cached parts wrong.
 type partKey uint64
 
-// part is a part of a prompt.
+// part is one part of a prompt.
 type part struct {
 	key    partKey
 	tokens sumachead.Tokens
@@ -28,14 +27,15 @@
 	return out
 }
 
-// leastShared is how many parts a prompt has at least if it shares any: the last is its own.
-const leastShared = 2
+// minPartsToShare is the minimum number of parts of a prompt that shares any: the last part is
+// its own.
+const minPartsToShare = 2
 
-// sharedOf are a prompt's parts without the last, which is the request's own.
-func sharedOf(parts []part) []part { return parts[:max(len(parts)-1, 0)] }
+// sharedParts returns a prompt's parts without the last, which belongs to the request alone.
+func sharedParts(parts []part) []part { return parts[:max(len(parts)-1, 0)] }
 
-// total adds up the sizes of parts.
-func total(parts []part) sumachead.Tokens {
+// totalTokens returns the sum of the sizes of parts.
+func totalTokens(parts []part) sumachead.Tokens {
 	var sum sumachead.Tokens
 	for _, p := range parts {
 		sum += p.tokens
@@ -43,27 +43,27 @@
 	return sum
 }
 
-// homeKey is the part by which a prompt has its home: the last shared one.
-func homeKey(parts []part) partKey {
+// affinityKey returns the part that determines a prompt's preferred server: the last shared one.
+func affinityKey(parts []part) partKey {
 	if len(parts) == 0 {
 		return 0
 	}
 	return parts[max(len(parts)-2, 0)].key
 }
 
-// affinity ranks a server for a prompt: all routers rank alike, so that requests
-// with the same shared parts meet.
-func affinity(k partKey, s *server) uint64 { return mix(uint64(k) ^ s.draw) }
+// affinityHash ranks a server for a prompt. All routers compute the same rank, so that requests
+// with the same shared parts go to one server.
+func affinityHash(k partKey, s *server) uint64 { return mixBits(uint64(k) ^ s.hash) }
 
-// mix spreads a number's bits, as the end of a hash does: without it, servers would
-// keep their order from prompt to prompt.
-func mix(h uint64) uint64 {
+// mixBits is the finalizer of MurmurHash3: without it, servers would be in the same order for
+// each prompt.
+func mixBits(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
-// Keys returns the hashes of the ids of a prompt's parts, as gauges know them.
+// PartKeys returns the hashes of the ids of a prompt's parts, as load trackers know them.
 func (w *Work) Keys() []uint64 {
 	var out []uint64
 	for _, p := range partsOf(w) {
@@ -72,50 +72,51 @@
 	return out
 }
 
-// offer is where the shared parts of a prompt are.
-type offer struct {
+// partLocations tells where the shared parts of a prompt are cached.
+type partLocations struct {
 	parts  []part
 	shared []part
-	// home is the server to which all routers send the prompt first; empty for a
-	// prompt without parts.
-	home string
-	// has, id and address are of the server that has most of the shared parts, as far
-	// as is known; 0 where nobody has any.
-	has     sumachead.Tokens
-	id      string
-	address string
+	// preferred is the server to which all routers send the prompt first; empty for a prompt
+	// without parts.
+	preferred string
+	// cached is the number of tokens of the shared parts at the server that has most of them as
+	// far as is known, and holder and holderAddress are that server; 0 and empty if none has
+	// any.
+	cached        sumachead.Tokens
+	holder        string
+	holderAddress string
 }
 
-// offer finds where a request's shared parts are. The caller holds mu.
-func (c *Chooser) offer(records []*wire.ServerRecord, w *Work, now time.Time) offer {
-	o := offer{parts: partsOf(w)}
-	o.shared = sharedOf(o.parts)
+// locateParts finds where a request's shared parts are cached. The caller holds mu.
+func (c *Chooser) locateParts(records []*wire.ServerRecord, w *Work, now time.Time) partLocations {
+	o := partLocations{parts: partsOf(w)}
+	o.shared = sharedParts(o.parts)
 	if len(o.parts) == 0 {
 		return o
 	}
-	key := homeKey(o.parts)
-	var least uint64
+	key := affinityKey(o.parts)
+	var lowest uint64
 	for _, r := range records {
 		if r.GetState() != wire.ServerState_SERVER_STATE_READY {
 			continue
 		}
 		s := c.server(sumachead.ServerID(r.GetId()))
-		if a := affinity(key, s); o.home == "" || a < least {
-			o.home, least = r.GetId(), a
+		if a := affinityHash(key, s); o.preferred == "" || a < lowest {
+			o.preferred, lowest = r.GetId(), a
 		}
-		if has := s.cached(o.shared); has > o.has && !now.Before(s.suspectTo) {
-			o.has, o.address, o.id = has, r.GetAddress(), r.GetId()
+		if has := s.cachedTokens(o.shared); has > o.cached && !now.Before(s.ejectedUntil) {
+			o.cached, o.holderAddress, o.holder = has, r.GetAddress(), r.GetId()
 		}
 	}
 	return o
 }
 
-// again returns how many tokens of the shared parts would be read at a server although
-// they should be elsewhere, if it has some of them. Where nobody is known to have any,
-// requests meet at the home: reading them there is the first time.
-func (o *offer) again(s *server, has sumachead.Tokens) sumachead.Tokens {
-	if o.has == 0 && string(s.id) == o.home {
+// recomputedTokens returns how many tokens of the shared parts a server with some of them would
+// prefill although they are cached elsewhere. If no server is known to have any, it is 0 at the
+// preferred server, which prefills them for the first time.
+func (o *partLocations) recomputedTokens(s *server, has sumachead.Tokens) sumachead.Tokens {
+	if o.cached == 0 && string(s.id) == o.preferred {
 		return 0
 	}
-	return max(total(o.shared)-has, 0)
+	return max(totalTokens(o.shared)-has, 0)
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -9,15 +9,15 @@
 	"sumachead"
 )
 
-// Names of the policies.
+// The names of the policies.
 const (
 	PolicyWeighted         = "weighted"
 	PolicyRoundRobin       = "round_robin"
 	PolicyLeastOutstanding = "least_outstanding"
 )
 
-// New returns a policy by name; the empty name means [Weighted]. It returns
-// nil for an unknown one.
+// New returns the policy of that name; the empty name means [Weighted]. It returns nil for an
+// unknown name.
 func New(policy string) sumachead.Placer {
 	switch policy {
 	case "", PolicyWeighted:
@@ -30,18 +30,18 @@
 	return nil
 }
 
-// stuckFor is for how long what an agent told of a stuck server is believed;
-// then a request may find out.
-const stuckFor = 3 * time.Second
+// stuckReportTTL is how long a report of a stuck server is believed; after that a request may
+// probe it.
+const stuckReportTTL = 3 * time.Second
 
-// fit drops the candidates that were tried or are known to be leaving, and those
-// that are stuck or rest if there are others.
-func fit(r sumachead.PlaceRequest, cs []sumachead.Candidate) []sumachead.Candidate {
+// eligible drops the candidates that were tried or are leaving, and those that are stuck or in
+// backoff unless there are no others.
+func eligible(r sumachead.PlaceRequest, cs []sumachead.Candidate) []sumachead.Candidate {
 	var out, doubtful []sumachead.Candidate
 	for _, c := range cs {
 		switch {
 		case slices.Contains(r.Tried, c.Server) || c.Load.GetLeaving():
-		case c.Load.GetStuck() && r.Now.Sub(c.LoadAt) < stuckFor:
+		case c.Load.GetStuck() && r.Now.Sub(c.LoadAt) < stuckReportTTL:
 			doubtful = append(doubtful, c)
 		case c.Load.GetRestMillis() > 0 && r.Now.Sub(c.LoadAt).Milliseconds() < c.Load.GetRestMillis():
 			doubtful = append(doubtful, c)
@@ -60,20 +60,19 @@
 
 // Place implements sumachead.Placer.
 func (p *RoundRobin) Place(r sumachead.PlaceRequest, cs []sumachead.Candidate) (sumachead.Candidate, bool) {
-	cs = fit(r, cs)
+	cs = eligible(r, cs)
 	if len(cs) == 0 {
 		return sumachead.Candidate{}, false
 	}
 	return cs[p.next.Add(1)%uint64(len(cs))], true
 }
 
-// LeastOutstanding takes the candidate with the fewest of this router's own
-// requests.
+// LeastOutstanding takes the candidate with the fewest outstanding requests of this router.
 type LeastOutstanding struct{ next atomic.Uint64 }
 
 // Place implements sumachead.Placer.
 func (p *LeastOutstanding) Place(r sumachead.PlaceRequest, cs []sumachead.Candidate) (sumachead.Candidate, bool) {
-	cs = fit(r, cs)
+	cs = eligible(r, cs)
 	if len(cs) == 0 {
 		return sumachead.Candidate{}, false
 	}
@@ -88,30 +87,29 @@
 }
 
 const (
-	// otherHallCost is the delay that a server in another hall counts for.
+	// otherHallCost is the latency added for a server in another data hall.
 	otherHallCost = 2 * time.Millisecond
-	// unknownCost is assumed of a server that has told nothing yet.
-	unknownCost = 50 * time.Millisecond
-	// prefixBound is how much more than the average load a server may have and
-	// still be chosen for its cached prefix, in percent (consistent hashing
-	// with bounded loads: V. Mirrokni, M. Thorup, M. Zadimoghaddam, 2018).
+	// defaultFirstTokenTime is assumed for a server that has not reported any yet.
+	defaultFirstTokenTime = 50 * time.Millisecond
+	// prefixBound is the maximum load of a server, in percent of the average, at which it is
+	// still chosen for its cached prefix (consistent hashing with bounded loads: V. Mirrokni, M.
+	// Thorup, M. Zadimoghaddam, 2018).
 	prefixBound = 125
 )
 
-// Weighted keeps a prompt's prefix on one server while that one is not
-// overloaded, and otherwise takes the better of two random candidates (M.
-// Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001)
-// by expected time to the first token.
+// Weighted keeps a prompt's prefix on one server while that server is not overloaded, and
+// otherwise takes the better of two random candidates (M. Mitzenmacher, "The Power of Two
+// Choices in Randomized Load Balancing", 2001) by expected time to the first token.
 type Weighted struct{}
 
 // Place implements sumachead.Placer.
 func (p *Weighted) Place(r sumachead.PlaceRequest, cs []sumachead.Candidate) (sumachead.Candidate, bool) {
-	cs = fit(r, cs)
+	cs = eligible(r, cs)
 	if len(cs) == 0 {
 		return sumachead.Candidate{}, false
 	}
 	if r.Prefix != 0 {
-		if c, ok := home(r, cs); ok {
+		if c, ok := preferredServer(r, cs); ok {
 			return c, true
 		}
 	}
@@ -123,9 +121,9 @@
 	return a, true
 }
 
-// home returns the server that a prefix hashes to (highest random weight),
-// unless that one is loaded beyond the bound.
-func home(r sumachead.PlaceRequest, cs []sumachead.Candidate) (sumachead.Candidate, bool) {
+// preferredServer returns the server with the highest random weight for the prefix, and whether its
+// load is within the bound.
+func preferredServer(r sumachead.PlaceRequest, cs []sumachead.Candidate) (sumachead.Candidate, bool) {
 	total := 0
 	best, bestScore := cs[0], uint64(0)
 	for _, c := range cs {
@@ -138,15 +136,15 @@
 	return best, load(best) < max(bound, 2) || load(best) < int(best.Load.GetSlots())/2
 }
 
-// load is the work known at a candidate: what it told, and what this router
-// has sent since.
+// load returns the number of requests known to be at a candidate: those it reported, or the
+// outstanding ones of this router if they are more.
 func load(c sumachead.Candidate) int {
 	return max(int(c.Load.GetRunning()+c.Load.GetQueued()), c.Outstanding)
 }
 
-// cost is the expected time to the first token.
+// cost returns the expected time to the first token.
 func cost(r sumachead.PlaceRequest, c sumachead.Candidate) time.Duration {
-	first := unknownCost
+	first := defaultFirstTokenTime
 	if c.Load.GetFirstTokenMicros() > 0 {
 		first = time.Duration(c.Load.GetFirstTokenMicros()) * time.Microsecond
 	}
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -20,7 +20,7 @@
 	return cs
 }
 
-func TestNobodyPlacesWhereItMustNot(t *testing.T) {
+func TestPoliciesSkipUnfitServers(t *testing.T) {
 	for _, policy := range []string{PolicyWeighted, PolicyRoundRobin, PolicyLeastOutstanding} {
 		t.Run(policy, func(t *testing.T) {
 			p := New(policy)
@@ -36,24 +36,24 @@
 			}
 			r.Tried = append(r.Tried, "s3")
 			if c, ok := p.Place(r, cs); !ok || c.Server != "s1" {
-				t.Errorf("a stuck server is better than none; got %v", c.Server)
+				t.Errorf("want the stuck server, got %v", c.Server)
 			}
 			r.Tried = append(r.Tried, "s1")
 			if _, ok := p.Place(r, cs); ok {
-				t.Error("placed although none is left")
+				t.Error("placed although no server is left")
 			}
 		})
 	}
 }
 
-func TestPrefixStaysHomeUntilLoaded(t *testing.T) {
+func TestPrefixStaysOnPreferredServerUntilLoaded(t *testing.T) {
 	p := &Weighted{}
 	cs := candidates(6)
 	r := sumachead.PlaceRequest{Hall: "h0", Prefix: 42, Now: time.Now()}
 	home, _ := p.Place(r, cs)
 	for range 50 {
 		if c, _ := p.Place(r, cs); c.Server != home.Server {
-			t.Fatalf("the prefix went to %v, its home is %v", c.Server, home.Server)
+			t.Fatalf("the prefix went to %v, its preferred server is %v", c.Server, home.Server)
 		}
 	}
 	for i := range cs {
@@ -61,14 +61,14 @@
 			cs[i].Load.Running, cs[i].Load.Queued = 8, 20
 		}
 	}
-	away := 0
+	others := 0
 	for range 50 {
 		if c, _ := p.Place(r, cs); c.Server != home.Server {
-			away++
+			others++
 		}
 	}
-	if away < 40 {
-		t.Errorf("only %d of 50 left an overloaded home", away)
+	if others < 40 {
+		t.Errorf("only %d of 50 left an overloaded preferred server", others)
 	}
 }
 
@@ -87,21 +87,21 @@
 	}
 }
 
-// A server whose agent told that it rests is passed over until the rest ends, and taken where
-// there is no other.
-func TestAgentsThatTellOfARest(t *testing.T) {
+// A server whose agent reports a backoff is avoided until the backoff ends, and chosen if there
+// is no other.
+func TestPolicyAvoidsServersInBackoff(t *testing.T) {
 	now := time.Now()
 	tests := []struct {
 		name  string
 		told  time.Duration // before now
 		count int
 		rest  time.Duration
-		want  sumachead.ServerID // empty for any
+		want  sumachead.ServerID // empty for any server
 	}{
 		{"rests", time.Second, 2, 3 * time.Second, "s1"},
-		{"has rested", 4 * time.Second, 2, 3 * time.Second, ""},
-		{"told after the request came", -time.Millisecond, 2, 0, ""},
-		{"is the only one", time.Second, 1, 3 * time.Second, "s0"},
+		{"backoff has ended", 4 * time.Second, 2, 3 * time.Second, ""},
+		{"reported after the request arrived", -time.Millisecond, 2, 0, ""},
+		{"only server", time.Second, 1, 3 * time.Second, "s0"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/place/placement.go
+++ b/internal/place/placement.go
@@ -6,187 +6,188 @@
 	"sumachead/api/wire"
 )
 
-// longestRun is for how long a gauge counts a request without a deadline whose router ended
-// without a word.
-const longestRun = time.Minute
+// defaultRunTimeout is how long a load tracker counts a request without a deadline whose router
+// ended without reporting its end.
+const defaultRunTimeout = time.Minute
 
-// Placement is one attempt at a server; end it with Done or Cancel.
+// Placement is one attempt at a server; end it with Done, CancelNotRun or Cancel.
 type Placement struct {
 	Record *wire.ServerRecord
-	// Home: the server is the first choice for the prompt's shared parts.
+	// Preferred reports that the server is the preferred one for the prompt's shared parts.
 	Home bool
-	// FetchFrom is the address of a server that keeps more of these parts; empty for
-	// none.
+	// FetchFrom is the address of a server that has more of these parts cached; empty for none.
 	FetchFrom string
-	// Running is what all routers had there before, as far as this one knew, and Told how
-	// old that knowledge was; negative where the server's gauge told nothing.
+	// Running is how many requests all routers had there before, as far as this router knew, and
+	// LoadAge the age of that knowledge; negative if there was no report of the server's load
+	// tracker.
 	Running int
 	Told    time.Duration
-	// Cold: the server was cold, and the request had a grant. Its caller sets it.
+	// Cold reports that the server was cold, and the request had a grant. The caller of Place
+	// sets it.
 	Cold bool
 
-	chooser *Chooser
-	server  *server
-	work    *Work
-	worth   worth
-	// estimate is what was expected when the server was chosen.
+	scheduler *Chooser
+	server    *server
+	request   *Work
+	value     requestValue
+	// estimate is the prediction when the server was chosen.
 	estimate
-	begun time.Time
-	// number is its own among the router's, and router whose it is where a gauge knows
-	// it.
+	startedAt time.Time
+	// number identifies the request among those of its router, and router is set only at a load
+	// tracker.
 	number uint64
 	router string
-	// long is by how much its reading made a pause likelier that is too long.
-	long float64
-	// readBy is when the prompt should have been read, and firstAt when the first
-	// event came; zero before.
-	readBy  time.Time
-	firstAt time.Time
-	// alone: nothing else was to be read there, as far as was known.
-	alone bool
-	// brought are the parts that were not expected there before.
-	brought []partKey
-	// late: the stream has missed an objective, and loses nothing more by pauses.
+	// stallRisk is by how much its prefill raised the probability of a gap that is too long.
+	stallRisk float64
+	// prefillDoneAt is when the prefill should be done, and firstEventAt when the first event
+	// came; zero before.
+	prefillDoneAt time.Time
+	firstEventAt  time.Time
+	// uncontended reports that no other prefill was known to be queued there.
+	uncontended bool
+	// addedParts are the parts that were not expected to be cached there before.
+	addedParts []partKey
+	// late reports that the stream has missed an objective; further gaps lose no more value.
 	late bool
 }
 
-// inTime reports whether the stream may still lose worth by a pause.
-func (l *Placement) inTime() bool { return !l.late && l.work.Pause > 0 }
+// inTime reports whether a gap could still make the stream late.
+func (l *Placement) inTime() bool { return !l.late && l.request.Pause > 0 }
 
-// Expected returns when the choice expected the first event, and for how long the
-// server had other prompts to read.
+// Predicted returns the predicted time of the first event, and how long the server had other
+// prompts to prefill.
 func (l *Placement) Expected() (first time.Time, backlog time.Duration) {
-	return l.begun.Add(l.wait), l.backlog
+	return l.startedAt.Add(l.wait), l.backlog
 }
 
-// Unread returns how many tokens of the prompt were to be read.
-func (l *Placement) Unread() int64 { return int64(l.unread) }
+// UncachedTokens returns how many tokens of the prompt had to be prefilled.
+func (l *Placement) Unread() int64 { return int64(l.uncached) }
 
-// First notes that the answer has begun; later calls do nothing.
+// RecordFirstEvent records that the response has begun; later calls do nothing.
 func (l *Placement) First(now time.Time) {
-	c := l.chooser
+	c := l.scheduler
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !l.firstAt.IsZero() {
+	if !l.firstEventAt.IsZero() {
 		return
 	}
-	l.firstAt = now
-	if !l.work.FirstBy.IsZero() && now.After(l.work.FirstBy) {
+	l.firstEventAt = now
+	if !l.request.FirstBy.IsZero() && now.After(l.request.FirstBy) {
 		l.late = true
 	}
-	if l.work.Engine != nil {
-		c.noteFirst(l, now.Sub(l.begun))
+	if l.request.Engine != nil {
+		c.learnFromFirstEvent(l, now.Sub(l.startedAt))
 	}
-	l.server.read(now)
-	took := now.Sub(l.begun) - c.reading.Base() - c.reading.Fetch(l.fetched)
-	c.tell(l, &wire.GaugeNote{Note: &wire.GaugeNote_Read{Read: &wire.GaugeRead{Number: l.number, TookMicros: took.Microseconds()}}})
+	l.server.updateBacklog(now)
+	took := now.Sub(l.startedAt) - c.prefill.Base() - c.prefill.FetchTime(l.fetched)
+	c.sendUpdate(l, &wire.GaugeNote{Note: &wire.GaugeNote_Read{Read: &wire.GaugeRead{Number: l.number, TookMicros: took.Microseconds()}}})
 	if l.late {
-		c.tell(l, lateNote(l))
+		c.sendUpdate(l, lateUpdate(l))
 	}
 }
 
-// tell brings a note to the gauge of an engine. The caller holds mu.
-func (c *Chooser) tell(l *Placement, n *wire.GaugeNote) {
-	if c.Tell != nil && l.work.Engine != nil {
+// sendUpdate sends an update to the load tracker of an engine. The caller holds mu.
+func (c *Chooser) sendUpdate(l *Placement, n *wire.GaugeNote) {
+	if c.Tell != nil && l.request.Engine != nil {
 		c.Tell(l.Record, n)
 	}
 }
 
-// tellRun tells of a request that is sent. The caller holds mu.
-func (c *Chooser) tellRun(l *Placement, parts []part, now time.Time) {
-	c.number++
-	l.number = c.number
-	deadline := l.work.Deadline
+// sendRun reports a request that is sent. The caller holds mu.
+func (c *Chooser) sendRun(l *Placement, parts []part, now time.Time) {
+	c.lastNumber++
+	l.number = c.lastNumber
+	deadline := l.request.Deadline
 	if deadline.IsZero() {
-		deadline = now.Add(longestRun)
+		deadline = now.Add(defaultRunTimeout)
 	}
 	r := &wire.GaugeRun{
-		Number: l.number, ReadMicros: l.read.Microseconds(), PauseMillis: l.work.Pause.Milliseconds(),
-		Worth: int64(l.worth), LongThousandths: int64(l.long * thousand), DeadlineMicros: deadline.Sub(now).Microseconds(),
+		Number: l.number, ReadMicros: l.prefill.Microseconds(), PauseMillis: l.request.Pause.Milliseconds(),
+		Worth: int64(l.value), LongThousandths: int64(l.stallRisk * wireScale), DeadlineMicros: deadline.Sub(now).Microseconds(),
 	}
 	for _, p := range parts {
 		r.Parts = append(r.Parts, uint64(p.key))
 	}
-	c.tell(l, &wire.GaugeNote{Note: &wire.GaugeNote_Run{Run: r}})
-	if h := l.work.home; h != nil && h != l.Record && c.Tell != nil {
+	c.sendUpdate(l, &wire.GaugeNote{Note: &wire.GaugeNote_Run{Run: r}})
+	if h := l.request.preferred; h != nil && h != l.Record && c.Tell != nil {
 		c.Tell(h, &wire.GaugeNote{Note: &wire.GaugeNote_Elsewhere{Elsewhere: &wire.GaugeElsewhere{
-			Part: uint64(homeKey(parts)), Server: l.Record.GetId(),
+			Part: uint64(affinityKey(parts)), Server: l.Record.GetId(),
 		}}})
 	}
 }
 
-// lateNote says that a stream has missed an objective.
-func lateNote(l *Placement) *wire.GaugeNote {
+// lateUpdate reports that a stream has missed an objective.
+func lateUpdate(l *Placement) *wire.GaugeNote {
 	return &wire.GaugeNote{Note: &wire.GaugeNote_Late{Late: l.number}}
 }
 
-// endedNote says that a request has ended.
-func endedNote(l *Placement) *wire.GaugeNote {
+// endedUpdate reports that a request has ended.
+func endedUpdate(l *Placement) *wire.GaugeNote {
 	return &wire.GaugeNote{Note: &wire.GaugeNote_Ended{Ended: l.number}}
 }
 
-// noteFirst learns from a first event: how fast the server is, and, where nothing else
-// was to be read there, how long prompts take. The caller holds mu.
-func (c *Chooser) noteFirst(l *Placement, took time.Duration) {
+// learnFromFirstEvent updates the slowdown of the server, and also the prefill model if no other
+// prefill was queued there. The caller holds mu.
+func (c *Chooser) learnFromFirstEvent(l *Placement, took time.Duration) {
 	s := l.server
-	s.noteSpeed(l.backlog+l.read, took-c.reading.Base()-c.reading.Fetch(l.fetched))
-	if l.alone {
-		c.reading.Note(l.unread, l.work.Prompt, l.fetched, time.Duration(float64(took)/max(s.factor, 1)))
+	s.updateSlowdown(l.backlog+l.prefill, took-c.prefill.Base()-c.prefill.FetchTime(l.fetched))
+	if l.uncontended {
+		c.prefill.Observe(l.uncached, l.request.Prompt, l.fetched, time.Duration(float64(took)/max(s.slowdown, 1)))
 	}
 }
 
-// Late notes that the stream has missed its objective for pauses.
+// RecordLate records that the stream has missed its objective for gaps between events.
 func (l *Placement) Late() {
-	l.chooser.mu.Lock()
-	defer l.chooser.mu.Unlock()
+	l.scheduler.mu.Lock()
+	defer l.scheduler.mu.Unlock()
 	l.late = true
-	l.chooser.tell(l, lateNote(l))
+	l.scheduler.sendUpdate(l, lateUpdate(l))
 }
 
-// Done ends an attempt; healthy says that the server did its work.
+// Done ends an attempt; healthy is false if the server failed.
 func (l *Placement) Done(healthy bool, now time.Time) {
-	c := l.chooser
+	c := l.scheduler
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.server.drop(l, now)
-	c.tell(l, endedNote(l))
+	l.server.remove(l, now)
+	c.sendUpdate(l, endedUpdate(l))
 	if !healthy {
-		l.server.suspect(now)
+		l.server.eject(now)
 		return
 	}
-	l.server.failures, l.server.suspectTo = 0, time.Time{}
-	if !l.firstAt.IsZero() && l.work.Pause > 0 {
-		c.noteLength(l.work.Route, now.Sub(l.firstAt))
+	l.server.failures, l.server.ejectedUntil = 0, time.Time{}
+	if !l.firstEventAt.IsZero() && l.request.Pause > 0 {
+		c.updateStreamDuration(l.request.Route, now.Sub(l.firstEventAt))
 	}
 }
 
-// NotRun ends an attempt that the server has not run: what it was to bring there is not expected
-// there. A server that turned prompts away looked as if it kept their parts, and got the next
-// ones.
+// CancelNotRun ends an attempt that the server has not run: the prompt's parts are not cached
+// there. Otherwise a server that rejects requests would seem to have their parts and attract
+// more of them.
 func (l *Placement) NotRun(now time.Time) {
-	c := l.chooser
+	c := l.scheduler
 	c.mu.Lock()
-	l.server.unbring(l)
-	c.tell(l, &wire.GaugeNote{Note: &wire.GaugeNote_NotRun{NotRun: l.number}})
+	l.server.removeAddedParts(l)
+	c.sendUpdate(l, &wire.GaugeNote{Note: &wire.GaugeNote_NotRun{NotRun: l.number}})
 	c.mu.Unlock()
 	l.Cancel(now)
 }
 
-// Rests tells the gauge that the server wants nothing from this router for a time. Once it has
-// asked two routers, all of them prefer other servers: each would be turned away once in each
-// rest, by several servers, and has two attempts. With 102 routers 310 of 90,087 requests are
-// refused instead of 3,446; with 4 it costs 4 percent of what is served in time
-// (TestRoutersTellGaugesOfRests).
+// ReportBackoff tells the load tracker that the server asked this router to back off for a time.
+// Once it has asked two routers, all of them prefer other servers: otherwise each router would
+// be rejected once in each backoff, by several servers, and has only two attempts. With 102
+// routers 310 of 90,087 requests are refused instead of 3,446; with 4 routers 4 percent fewer
+// requests are served in time (TestRoutersTellGaugesOfRests).
 func (l *Placement) Rests(rest time.Duration) {
-	l.chooser.mu.Lock()
-	defer l.chooser.mu.Unlock()
-	l.chooser.tell(l, &wire.GaugeNote{Note: &wire.GaugeNote_RestMillis{RestMillis: rest.Milliseconds()}})
+	l.scheduler.mu.Lock()
+	defer l.scheduler.mu.Unlock()
+	l.scheduler.sendUpdate(l, &wire.GaugeNote{Note: &wire.GaugeNote_RestMillis{RestMillis: rest.Milliseconds()}})
 }
 
-// Cancel ends an attempt that says nothing of the server.
+// Cancel ends an attempt whose outcome says nothing about the server.
 func (l *Placement) Cancel(now time.Time) {
-	l.chooser.mu.Lock()
-	defer l.chooser.mu.Unlock()
-	l.server.drop(l, now)
-	l.chooser.tell(l, endedNote(l))
+	l.scheduler.mu.Lock()
+	defer l.scheduler.mu.Unlock()
+	l.server.remove(l, now)
+	l.scheduler.sendUpdate(l, endedUpdate(l))
 }
--- a/internal/place/plain_test.go
+++ b/internal/place/plain_test.go
@@ -11,93 +11,94 @@
 	"sumachead/api/wire"
 )
 
-// plainFleet is many routers of some data halls before the servers of a plain service, which has no
-// gauges: each router knows only what it sent itself. Servers work on some requests at a time, and
-// queue the others.
+// plainFleet is many routers in some data halls and the servers of a plain service, which has no
+// load trackers: each router knows only what it sent itself. Servers run some requests at a time
+// and queue the others.
 type plainFleet struct {
 	now     time.Time
 	rand    *rand.Rand
 	servers []*wire.ServerRecord
 	state   map[string]*plainServer
 	routers []*Chooser
-	events  playedEvents
-	// arrivals counts requests by server, and took is how long each took.
-	arrivals map[string]int
-	took     []time.Duration
+	events  simulatedEvents
+	// arrivals counts requests by server, and latencies holds the latency of each.
+	arrivals  map[string]int
+	latencies []time.Duration
 }
 
-// plainServer is one server: until when its places are taken.
-type plainServer struct{ places []time.Time }
+// plainServer is one server, with the time when each of its slots is free.
+type plainServer struct{ slotsFreeAt []time.Time }
 
 const (
-	plainPlaces = 6
-	plainWork   = 30 * time.Millisecond
+	plainSlots       = 6
+	plainServiceTime = 30 * time.Millisecond
 )
 
-// newPlainFleet makes one; routers and servers are spread over the halls evenly.
+// newPlainFleet returns a fleet with routers and servers spread evenly over the data halls.
 func newPlainFleet(routers, servers, halls int) *plainFleet {
 	f := &plainFleet{now: time.Unix(1e9, 0), rand: rand.New(rand.NewPCG(1, 2)), state: make(map[string]*plainServer), arrivals: make(map[string]int)}
 	for i := range servers {
 		id := fmt.Sprint("desk-", i)
-		f.servers = append(f.servers, &wire.ServerRecord{Id: id, Service: "desk", Hall: fmt.Sprint("hall-", i%halls), Slots: plainPlaces})
-		f.state[id] = &plainServer{places: make([]time.Time, plainPlaces)}
+		f.servers = append(f.servers, &wire.ServerRecord{Id: id, Service: "desk", Hall: fmt.Sprint("hall-", i%halls), Slots: plainSlots})
+		f.state[id] = &plainServer{slotsFreeAt: make([]time.Time, plainSlots)}
 	}
 	for i := range routers {
 		c := NewChooser(sumachead.HallID(fmt.Sprint("hall-", i%halls)))
-		c.lot = f.rand.Uint64()
+		c.tieBreakSeed = f.rand.Uint64()
 		f.routers = append(f.routers, c)
 	}
 	return f
 }
 
-// play has so many requests a second come for a time.
-func (f *plainFleet) play(perSecond float64, lasts time.Duration) {
-	end := f.now.Add(lasts)
+// simulate sends requests at a rate for a time.
+func (f *plainFleet) simulate(perSecond float64, duration time.Duration) {
+	end := f.now.Add(duration)
 	for at := f.now; at.Before(end); at = at.Add(time.Duration(f.rand.ExpFloat64() / perSecond * float64(time.Second))) {
-		heap.Push(&f.events, playedEvent{at, f.request})
+		heap.Push(&f.events, simulatedEvent{at, f.request})
 	}
 	for len(f.events) > 0 {
-		e := heap.Pop(&f.events).(playedEvent)
+		e := heap.Pop(&f.events).(simulatedEvent)
 		f.now = e.at
 		e.do()
 	}
 }
 
-// request has a router choose a server, which ends the request once it had a place.
+// request has a router choose a server, which ends the request after it had a slot.
 func (f *plainFleet) request() {
 	w := &Work{Route: "check"}
 	c := f.routers[f.rand.IntN(len(f.routers))]
 	l := c.Place(c.Candidates(f.servers, nil, w, f.now), nil, w, f.now)
 	f.arrivals[l.Record.GetId()]++
-	places := f.state[l.Record.GetId()].places
+	places := f.state[l.Record.GetId()].slotsFreeAt
 	first := 0
 	for i, t := range places {
 		if t.Before(places[first]) {
 			first = i
 		}
 	}
-	begins := f.now
-	if places[first].After(begins) {
-		begins = places[first]
+	startsAt := f.now
+	if places[first].After(startsAt) {
+		startsAt = places[first]
 	}
-	ends := begins.Add(time.Duration(float64(plainWork) * (0.5 + f.rand.ExpFloat64()/2)))
+	ends := startsAt.Add(time.Duration(float64(plainServiceTime) * (0.5 + f.rand.ExpFloat64()/2)))
 	places[first] = ends
-	f.took = append(f.took, ends.Sub(f.now))
-	heap.Push(&f.events, playedEvent{ends, func() { l.Done(true, f.now) }})
+	f.latencies = append(f.latencies, ends.Sub(f.now))
+	heap.Push(&f.events, simulatedEvent{ends, func() { l.Done(true, f.now) }})
 }
 
-// late returns the part of the requests that took longer than a time.
-func (f *plainFleet) late(than time.Duration) float64 {
+// lateShare returns the fraction of requests that took longer than a time.
+func (f *plainFleet) lateShare(than time.Duration) float64 {
 	n := 0
-	for _, t := range f.took {
+	for _, t := range f.latencies {
 		if t > than {
 			n++
 		}
 	}
-	return float64(n) / float64(len(f.took))
+	return float64(n) / float64(len(f.latencies))
 }
 
-// busiest returns how many times the mean the busiest server got, and idle how many got nothing.
+// busiest returns the load of the busiest server as a multiple of the mean, and how many servers
+// got nothing.
 func (f *plainFleet) busiest() (times float64, idle int) {
 	most := 0
 	for _, r := range f.servers {
@@ -107,12 +108,12 @@
 			idle++
 		}
 	}
-	return float64(most*len(f.servers)) / float64(len(f.took)), idle
+	return float64(most*len(f.servers)) / float64(len(f.latencies)), idle
 }
 
-// Many routers before the servers of a plain service know nothing of each other's requests: they
-// must not all prefer the same server. It is for a fleet whose routers have less than one request
-// under way each.
+// Routers know nothing of each other's requests to the servers of a plain service: they must not
+// all prefer the same server. This matters in a fleet whose routers have less than one request
+// in flight each.
 func TestPlainServersShareTheLoad(t *testing.T) {
 	tests := []struct {
 		routers, servers, halls int
@@ -127,13 +128,13 @@
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.routers, " routers"), func(t *testing.T) {
 			f := newPlainFleet(tt.routers, tt.servers, tt.halls)
-			f.play(tt.perSecond, 10*time.Second)
+			f.simulate(tt.perSecond, 10*time.Second)
 			const inTime, most, lateMost = 150 * time.Millisecond, 2, 0.02
 			times, idle := f.busiest()
-			late := f.late(inTime)
-			t.Logf("the busiest got %.2f times the mean, %d nothing; %.2f%% later than %v", times, idle, 100*late, inTime)
+			late := f.lateShare(inTime)
+			t.Logf("the busiest server got %.2f times the mean, %d servers got nothing; %.2f%% took longer than %v", times, idle, 100*late, inTime)
 			if times > most || idle > 0 || late > lateMost {
-				t.Errorf("at most %d times the mean, none idle, and %v late are expected", most, lateMost)
+				t.Errorf("want at most %d times the mean, no idle server, and at most %v late", most, lateMost)
 			}
 		})
 	}
--- a/internal/place/reading.go
+++ b/internal/place/reading.go
@@ -8,109 +8,108 @@
 )
 
 const (
-	// firstBase, firstPerToken, firstPerPair and firstPerFetched are what a first event
-	// takes as long as nothing was measured: the way there and back with some steps, a
-	// token of a prompt, a pair of a token that is read and one before it, and a token
-	// that is fetched. They are those of a slow engine; a few prompts replace them.
-	firstBase       = 40 * time.Millisecond
-	firstPerToken   = 33 * time.Microsecond
-	firstPerPair    = 0.4 // nanoseconds
-	firstPerFetched = 15 * time.Microsecond
-
-	// readingMemory is by how much one measurement makes the earlier ones count less:
-	// some two hundred count.
-	readingMemory = 0.995
-	// priorWeight is how many measurements the first figures count as.
+	// initialBase, initialPerToken, initialPerPair and initialPerFetched are the parts of the
+	// time to the first event before any was observed: the round trip and some engine steps,
+	// each token of the prompt, each pair of a prefilled token and one before it, and each
+	// fetched token. They are those of a slow engine; a few prompts replace them.
+	initialBase       = 40 * time.Millisecond
+	initialPerToken   = 33 * time.Microsecond
+	initialPerPair    = 0.4 // nanoseconds
+	initialPerFetched = 15 * time.Microsecond
+
+	// sampleDecay is the factor by which each sample reduces the weight of earlier ones: some
+	// two hundred count.
+	sampleDecay = 0.995
+	// priorWeight is how many samples the initial values count as.
 	priorWeight = 3
-	// outlier bounds a measurement, as a multiple of what was expected: what else held
-	// a prompt up is not known here.
-	outlier = 2.5
+	// maxOutlierRatio bounds a sample as a multiple of the expected time: other causes of delay
+	// are not known here.
+	maxOutlierRatio = 2.5
 
-	// singular is the pivot below which the measurements do not determine a figure.
-	singular = 1e-9
+	// minPivot is the minimum pivot: below it the samples don't determine the coefficients.
+	minPivot = 1e-9
 
-	// Scales of the features, so that they are of the same order of size.
+	// The scales give the features the same order of magnitude.
 	tokenScale = 1e4
 	pairScale  = 1e9
 
-	// slowest and fastest bound how a server's speed is taken to differ from the usual
-	// one, and factorWeight is the weight of one measurement of it.
-	slowest      = 8.0
-	fastest      = 0.5
-	factorWeight = 0.15
-	// factorFrom is the least time of reading, as predicted, that tells of speed: what
-	// else a first event takes varies by some ms.
-	factorFrom = 30 * time.Millisecond
+	// maxSlowdown and minSlowdown bound the slowdown of a server, and slowdownWeight is the
+	// weight of one sample of it.
+	maxSlowdown    = 8.0
+	minSlowdown    = 0.5
+	slowdownWeight = 0.15
+	// minPrefillForSlowdown is the minimum predicted prefill time from which a slowdown is
+	// computed: other parts of the time to the first event vary by some ms.
+	minPrefillForSlowdown = 30 * time.Millisecond
 )
 
-// numFeatures is how many features a prompt has.
+// numFeatures is the number of features of a prompt.
 const numFeatures = 4
 
-// features of a prompt that is read: 1, tokens, pairs of a token that is read and one
-// before it, and tokens that are fetched. Attention makes each token dearer the more
-// stand before it.
+// features of a prompt are: 1, prefilled tokens, pairs of a prefilled token and one before it,
+// and fetched tokens. The pairs are the cost of attention, which grows with the tokens before
+// each one.
 type features [numFeatures]float64
 
-// featuresOf returns those of the last unread tokens of a prompt.
-func featuresOf(unread, prompt, fetched sumachead.Tokens) features {
-	u, p := float64(unread), float64(prompt)
+// featuresOf returns the features of a prompt whose last tokens are uncached.
+func featuresOf(uncached, prompt, fetched sumachead.Tokens) features {
+	u, p := float64(uncached), float64(prompt)
 	return features{1, u / tokenScale, (p*p - (p-u)*(p-u)) / 2 / pairScale, float64(fetched) / tokenScale}
 }
 
-// Reading predicts how long engines take from a request to its first event: a least
-// squares fit to what was observed, in which old measurements fade. The zero value is
-// not ready; use newReading.
-type Reading struct {
-	// gram and moment are the sums of the normal equations.
+// PrefillModel predicts the time from a request to its first event: a least squares fit to
+// observed times in which old samples decay. The zero value is not ready; use newPrefillModel.
+type PrefillModel struct {
+	// gram and moment are the two sides of the normal equations.
 	gram   [numFeatures]features
 	moment features
-	// per is the solution, in nanoseconds for each feature; none is below 0.
-	per features
+	// coefficients is the solution, in nanoseconds for each feature; none is below 0.
+	coefficients features
 }
 
-// newReading returns a model that expects the first figures.
-func newReading() *Reading {
-	r := &Reading{per: features{
-		float64(firstBase), float64(firstPerToken) * tokenScale, firstPerPair * pairScale, float64(firstPerFetched) * tokenScale,
+// newPrefillModel returns a model with the initial coefficients.
+func newPrefillModel() *PrefillModel {
+	r := &PrefillModel{coefficients: features{
+		float64(initialBase), float64(initialPerToken) * tokenScale, initialPerPair * pairScale, float64(initialPerFetched) * tokenScale,
 	}}
-	for i := range r.per {
+	for i := range r.coefficients {
 		r.gram[i][i] = priorWeight
-		r.moment[i] = priorWeight * r.per[i]
+		r.moment[i] = priorWeight * r.coefficients[i]
 	}
 	return r
 }
 
-// Base returns what a first event takes beside the reading.
-func (r *Reading) Base() time.Duration { return time.Duration(r.per[0]) }
+// Base returns the part of the time to the first event that does not depend on the prompt.
+func (r *PrefillModel) Base() time.Duration { return time.Duration(r.coefficients[0]) }
 
-// Time returns how long the last unread tokens of a prompt take to be read.
-func (r *Reading) Time(unread, prompt sumachead.Tokens) time.Duration {
-	f := featuresOf(unread, prompt, 0)
-	return time.Duration(f[1]*r.per[1] + f[2]*r.per[2])
+// PrefillTime returns how long the prefill of a prompt's uncached tokens takes.
+func (r *PrefillModel) PrefillTime(uncached, prompt sumachead.Tokens) time.Duration {
+	f := featuresOf(uncached, prompt, 0)
+	return time.Duration(f[1]*r.coefficients[1] + f[2]*r.coefficients[2])
 }
 
-// Fetch returns how long tokens take to be fetched from another engine.
-func (r *Reading) Fetch(fetched sumachead.Tokens) time.Duration {
-	return time.Duration(float64(fetched) / tokenScale * r.per[3])
+// FetchTime returns how long it takes to fetch tokens from another engine.
+func (r *PrefillModel) FetchTime(fetched sumachead.Tokens) time.Duration {
+	return time.Duration(float64(fetched) / tokenScale * r.coefficients[3])
 }
 
-// Note takes in a first event that came after a time, with nothing else to read.
-func (r *Reading) Note(unread, prompt, fetched sumachead.Tokens, took time.Duration) {
-	expected := r.Base() + r.Time(unread, prompt) + r.Fetch(fetched)
-	y := min(float64(took), outlier*float64(expected))
-	f := featuresOf(unread, prompt, fetched)
+// Observe adds a sample: the time to a first event when no other prefill was queued.
+func (r *PrefillModel) Observe(uncached, prompt, fetched sumachead.Tokens, took time.Duration) {
+	expected := r.Base() + r.PrefillTime(uncached, prompt) + r.FetchTime(fetched)
+	y := min(float64(took), maxOutlierRatio*float64(expected))
+	f := featuresOf(uncached, prompt, fetched)
 	for i := range f {
 		for j := range f {
-			r.gram[i][j] = r.gram[i][j]*readingMemory + f[i]*f[j]
+			r.gram[i][j] = r.gram[i][j]*sampleDecay + f[i]*f[j]
 		}
-		r.moment[i] = r.moment[i]*readingMemory + f[i]*y
+		r.moment[i] = r.moment[i]*sampleDecay + f[i]*y
 	}
 	r.solve()
 }
 
-// solve fits the figures by elimination with pivots. Where the measurements do not
-// determine them, they stay.
-func (r *Reading) solve() {
+// solve computes the coefficients by Gaussian elimination with pivoting. If the samples don't
+// determine them, it leaves them as they are.
+func (r *PrefillModel) solve() {
 	m, v := r.gram, r.moment
 	for i := range v {
 		p := i
@@ -121,7 +120,7 @@
 		}
 		m[i], m[p] = m[p], m[i]
 		v[i], v[p] = v[p], v[i]
-		if math.Abs(m[i][i]) < singular {
+		if math.Abs(m[i][i]) < minPivot {
 			return
 		}
 		for j := i + 1; j < numFeatures; j++ {
@@ -139,18 +138,18 @@
 		v[i] /= m[i][i]
 	}
 	for i := range v {
-		r.per[i] = max(v[i], 0)
+		r.coefficients[i] = max(v[i], 0)
 	}
 }
 
-// decaying is a sum that fades with time.
-type decaying struct {
+// decayingSum is a sum that decays exponentially with time.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-// value returns the sum at a time, with a time constant.
-func (d *decaying) value(now time.Time, memory time.Duration) float64 {
+// value returns the sum at a time, decayed with a time constant.
+func (d *decayingSum) value(now time.Time, memory time.Duration) float64 {
 	if d.at.IsZero() {
 		return 0
 	}
@@ -158,6 +157,6 @@
 }
 
 // add adds an amount.
-func (d *decaying) add(amount float64, now time.Time, memory time.Duration) {
+func (d *decayingSum) add(amount float64, now time.Time, memory time.Duration) {
 	d.sum, d.at = d.value(now, memory)+amount, now
 }
--- a/internal/place/rests_test.go
+++ b/internal/place/rests_test.go
@@ -10,30 +10,31 @@
 	"sumachead/api/wire"
 )
 
-// restsPlayed is what came of requests while some engines turned all away.
-type restsPlayed struct {
-	requests, turned, refused, late int
-	// told counts the answers of gauges that told a router of a rest.
-	told int
+// backoffResult counts the outcomes of requests while some engines rejected all of them.
+type backoffResult struct {
+	requests, rejected, refused, late int
+	// reports counts the query results that told a router of a backoff.
+	reports int
 }
 
-// add adds what came of others.
-func (p *restsPlayed) add(q restsPlayed) {
+// add adds the counts of another result.
+func (p *backoffResult) add(q backoffResult) {
 	p.requests += q.requests
-	p.turned += q.turned
+	p.rejected += q.rejected
 	p.refused += q.refused
 	p.late += q.late
-	p.told += q.told
+	p.reports += q.reports
 }
 
-// inTime returns how many were served in time.
-func (p *restsPlayed) inTime() int { return p.requests - p.refused - p.late }
+// inTime returns how many requests were served in time.
+func (p *backoffResult) inTime() int { return p.requests - p.refused - p.late }
 
-// playRests sends requests at a rate for some seconds; within a part of that time some engines
-// turn away all that comes and ask for rest. Routers pass over those that have asked them; with
-// hints they also tell the engines' gauges. With oneRouter only the first router is turned away.
-func (f *playedFleet) playRests(rate float64, lasts, from, until, rest time.Duration, resting int, hints, oneRouter bool) (p restsPlayed) {
-	begun, end := f.now, f.now.Add(lasts)
+// simulateBackoff sends requests at a rate for some seconds; during a part of that time some
+// engines reject all requests and ask for backoff. Routers avoid engines that have asked them;
+// with hints they also update the engines' load trackers. With oneRouter only the first router
+// is rejected.
+func (f *simulatedFleet) simulateBackoff(rate float64, duration, from, until, backoff time.Duration, resting int, hints, oneRouter bool) (p backoffResult) {
+	start, end := f.now, f.now.Add(duration)
 	rests := make([]map[sumachead.ServerID]time.Time, len(f.routers))
 	for i, r := range f.routers {
 		own := make(map[sumachead.ServerID]time.Time)
@@ -64,46 +65,47 @@
 				break
 			}
 			id := l.Record.GetId()
-			if since := f.now.Sub(begun); sheds[id] && (n == 0 || !oneRouter) && since >= from && since < until {
-				p.turned++
-				rests[n][sumachead.ServerID(id)] = f.now.Add(rest)
+			if since := f.now.Sub(start); sheds[id] && (n == 0 || !oneRouter) && since >= from && since < until {
+				p.rejected++
+				rests[n][sumachead.ServerID(id)] = f.now.Add(backoff)
 				if hints {
-					l.Rests(rest)
+					l.Rests(backoff)
 				}
 				l.NotRun(f.now)
 				tried = append(tried, sumachead.ServerID(id))
 				continue
 			}
-			first := f.read(id, w)
+			first := f.prefill(id, w)
 			if first.After(w.FirstBy) {
 				p.late++
 			}
-			heap.Push(&f.events, playedEvent{first, func() { l.First(f.now) }})
-			heap.Push(&f.events, playedEvent{first.Add(time.Second), func() { l.Done(true, f.now) }})
+			heap.Push(&f.events, simulatedEvent{first, func() { l.First(f.now) }})
+			heap.Push(&f.events, simulatedEvent{first.Add(time.Second), func() { l.Done(true, f.now) }})
 			break
 		}
 		next := time.Duration(f.rand.ExpFloat64() / rate * float64(time.Second))
-		heap.Push(&f.events, playedEvent{f.now.Add(next), arrive})
+		heap.Push(&f.events, simulatedEvent{f.now.Add(next), arrive})
 	}
-	heap.Push(&f.events, playedEvent{f.now, arrive})
+	heap.Push(&f.events, simulatedEvent{f.now, arrive})
 	f.runEvents()
 	for _, r := range f.routers {
-		p.told += r.toldOfRest
+		p.reports += r.backoffReports
 	}
 	return p
 }
 
-// A quarter or a third of the engines turn all away for nine of fifteen seconds and ask for
-// three seconds of rest each time. With hints far fewer requests are refused, and more of those
-// that are served are late. Ten plays each, without and with hints, refused and late:
+// A quarter or a third of the engines reject everything for nine of fifteen seconds and ask for
+// a backoff of three seconds each time. With hints far fewer requests are refused, and more of
+// those that are served are late. Ten simulations each, without and with hints, refused and
+// late:
 //
 //	  4 routers,  12 engines,   6,840 requests:   136 and 991,    50 and 1,323
 //	 24 routers,  47 engines,  26,977 requests: 1,046 and 135,    93 and 634
 //	102 routers, 160 engines,  90,087 requests: 3,446 and 249,   310 and 405
 //	410 routers, 400 engines, 240,560 requests: 8,359 and 816,   686 and 991
 //
-// So with 4 routers 4 percent fewer are served in time with hints, and with more routers 2 to 3
-// percent more. Where only one router is asked for rest, nobody else is told.
+// So with 4 routers 4 percent fewer requests are served in time with hints, and with more
+// routers 2 to 3 percent more. If only one router is asked to back off, no other is told.
 func TestRoutersTellGaugesOfRests(t *testing.T) {
 	const (
 		lasts, from, until = 15 * time.Second, 3 * time.Second, 12 * time.Second
@@ -112,7 +114,7 @@
 	tests := []struct {
 		name                      string
 		routers, engines, resting int
-		rate                      float64 // requests a second
+		rate                      float64 // requests per second
 		plays                     int
 	}{
 		{"4 routers", 4, 12, 4, 45, 5},
@@ -122,33 +124,33 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			play := func(hints, oneRouter bool) (sum restsPlayed) {
+			play := func(hints, oneRouter bool) (sum backoffResult) {
 				for seed := range uint64(tt.plays) {
-					f := newPlayedFleet(tt.routers, tt.engines, true)
+					f := newSimulatedFleet(tt.routers, tt.engines, true)
 					f.rand = rand.New(rand.NewPCG(seed, 7))
-					sum.add(f.playRests(tt.rate, lasts, from, until, rest, tt.resting, hints, oneRouter))
+					sum.add(f.simulateBackoff(tt.rate, lasts, from, until, rest, tt.resting, hints, oneRouter))
 				}
 				return sum
 			}
-			told, alone := play(true, false), play(false, false)
-			t.Logf("with hints %+v, without %+v", told, alone)
-			if told.refused*2 > alone.refused {
-				t.Errorf("%d refused with hints, %d without: at most half of it is expected", told.refused, alone.refused)
+			hinted, unhinted := play(true, false), play(false, false)
+			t.Logf("with hints %+v, without %+v", hinted, unhinted)
+			if hinted.refused*2 > unhinted.refused {
+				t.Errorf("%d refused with hints, %d without: want at most half", hinted.refused, unhinted.refused)
 			}
-			const noisePercent = 5 // of what is served in time by chance
-			if in, by := told.inTime(), alone.inTime(); in*100 < by*(100-noisePercent) {
+			const noisePercent = 5 // random variation of what is served in time
+			if in, by := hinted.inTime(), unhinted.inTime(); in*100 < by*(100-noisePercent) {
 				t.Errorf("%d served in time with hints, %d without", in, by)
 			}
-			told, alone = play(true, true), play(false, true)
-			if told.told != 0 || told.inTime()*100 < alone.inTime()*(100-noisePercent) {
-				t.Errorf("one router is asked for rest: with hints %+v, without %+v", told, alone)
+			hinted, unhinted = play(true, true), play(false, true)
+			if hinted.reports != 0 || hinted.inTime()*100 < unhinted.inTime()*(100-noisePercent) {
+				t.Errorf("one router is asked to back off: with hints %+v, without %+v", hinted, unhinted)
 			}
 		})
 	}
 }
 
-// A rest that was asked of one router is none of the others'; that of two is, until the first
-// of the two rests ends.
+// A backoff requested from one router does not affect others; one requested from two routers
+// does, until the earlier of the two ends.
 func TestRestsOfTwoRoutersAreTold(t *testing.T) {
 	begun := time.Now()
 	steps := []struct {
@@ -159,11 +161,11 @@
 		want   time.Duration
 	}{
 		{"one router", 0, "a", 5 * time.Second, 0},
-		{"the same one again", 0, "a", 6 * time.Second, 0},
-		{"another one", time.Second, "b", 2 * time.Second, 2 * time.Second},
-		{"a third one, shorter", time.Second, "c", time.Second, 2 * time.Second},
-		{"a third one, longer", time.Second, "c", 4 * time.Second, 4 * time.Second},
-		{"all but one have ended", 5500 * time.Millisecond, "c", 0, 0},
+		{"the same router again", 0, "a", 6 * time.Second, 0},
+		{"another router", time.Second, "b", 2 * time.Second, 2 * time.Second},
+		{"third router, shorter", time.Second, "c", time.Second, 2 * time.Second},
+		{"third router, longer", time.Second, "c", 4 * time.Second, 4 * time.Second},
+		{"all but one ended", 5500 * time.Millisecond, "c", 0, 0},
 	}
 	g := &Gauge{}
 	for _, tt := range steps {
@@ -173,7 +175,7 @@
 		}}, now)
 		a := g.Answer(&wire.GaugeQuestion{Router: "other", Server: "s"}, now)
 		if got := time.Duration(a.GetRestMillis()) * time.Millisecond; got != tt.want {
-			t.Errorf("%s: all are told %v, want %v", tt.name, got, tt.want)
+			t.Errorf("%s: all routers get %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
--- a/internal/place/server.go
+++ b/internal/place/server.go
@@ -13,91 +13,91 @@
 )
 
 const (
-	// partsKept bounds the parts remembered for each server.
-	partsKept = 4096
-	// forgetState is how long the state of a server that is not used is kept.
-	forgetState = 2 * time.Minute
-	// suspectFirst and suspectMost bound for how long a server that failed is
-	// passed over; the time doubles with each failure in a row.
-	suspectFirst = 500 * time.Millisecond
-	suspectMost  = 8 * time.Second
-	// suspectDoublings is more doublings than reach suspectMost, and few enough
+	// maxPartsPerServer bounds the cached parts known for each server.
+	maxPartsPerServer = 4096
+	// unusedStateTTL is how long the state of an unused server is kept.
+	unusedStateTTL = 2 * time.Minute
+	// minEjection and maxEjection bound how long a server is ejected after a failure; the time
+	// doubles with each consecutive failure.
+	minEjection = 500 * time.Millisecond
+	maxEjection = 8 * time.Second
+	// maxEjectionDoublings is more doublings than it takes to reach maxEjection, and few enough
 	// not to overflow.
-	suspectDoublings = 8
-	// longMemory is the time constant by which long reads of an engine are forgotten:
-	// some lengths of a stream, so that engines keep their role for a while.
-	longMemory = 4 * time.Second
+	maxEjectionDoublings = 8
+	// stallDecayTime is the time constant with which stalls at an engine decay: several stream
+	// durations, so that engines stay either with long prompts or with streams for a while.
+	stallDecayTime = 4 * time.Second
 )
 
-// server is what is known of one life of a server: at a router by its own evidence and by
-// what the server's gauge told, at the gauge by what all routers told.
+// server is the state of one incarnation of a server: at a router from its own requests and the
+// reports of the server's load tracker, at the load tracker from the updates of all routers.
 type server struct {
 	id sumachead.ServerID
-	// draw is the hash of the id, for affinity.
-	draw uint64
-	// runs are the requests there, in the order in which they were sent.
-	runs []*Placement
-	// busyUntil is when what was sent there should have been read.
-	busyUntil time.Time
-	// factor is how many times longer than usual it takes to read.
-	factor float64
-	// long counts pauses that are too long for streams there: each prompt by how much it
-	// made one more likely.
-	long decaying
-	// others is what all other routers have there, as the gauge last told.
-	others others
-	// parts are the prompt parts that requests have brought there, with when each was
-	// last brought.
+	// hash is the hash of the id, for affinity.
+	hash uint64
+	// inFlight holds the requests there, in the order in which they were sent.
+	inFlight []*Placement
+	// prefillDoneAt is when all prompts sent there should be prefilled.
+	prefillDoneAt time.Time
+	// slowdown is the factor by which a prefill takes longer than predicted.
+	slowdown float64
+	// stalls is the expected number of gaps that exceed the objective: each prompt adds by how
+	// much it raised their probability.
+	stalls decayingSum
+	// remote is the load of all other routers, as last reported by the load tracker.
+	remote remoteLoad
+	// parts holds the prompt parts that should be cached there, with when each was last used.
 	parts map[partKey]time.Time
-	// failures in a row, and until when the server is passed over.
-	failures  int
-	suspectTo time.Time
-	// restTo is until when it wants nothing from two routers at least, as its gauge told.
-	restTo time.Time
+	// failures counts consecutive failures, and ejectedUntil is when the ejection ends.
+	failures     int
+	ejectedUntil time.Time
+	// backoffUntil is until when the server is in backoff for at least two routers, as reported
+	// by its load tracker.
+	backoffUntil time.Time
 	// usedAt is when a request was last sent there.
 	usedAt time.Time
 }
 
-// others is the load of all other routers at a server.
-type others struct {
-	// at is when it was told.
+// remoteLoad is the load of all other routers at a server.
+type remoteLoad struct {
+	// at is when it was reported.
 	at      time.Time
 	running int
-	// readUntil is when what they sent there should have been read.
-	readUntil time.Time
-	// atRisk is the worth of their streams there that are in time so far, and pause
-	// the least of their objectives for pauses.
-	atRisk worth
-	pause  time.Duration
-	// long counts their long reads.
-	long float64
+	// prefillDoneAt is when the prompts they sent should be prefilled.
+	prefillDoneAt time.Time
+	// atRisk is the value of their streams that have been in time so far, and gapObjective the
+	// minimum of these streams' objectives for gaps.
+	atRisk       requestValue
+	gapObjective time.Duration
+	// stalls is the expected number of gaps caused by their prompts.
+	stalls float64
 }
 
-// newServer returns the state of a server that nothing is known of.
+// newServer returns the state of a server about which nothing is known.
 func newServer(id sumachead.ServerID) *server {
-	return &server{id: id, draw: drawOf(id), factor: 1, parts: make(map[partKey]time.Time)}
+	return &server{id: id, hash: hashOf(id), slowdown: 1, parts: make(map[partKey]time.Time)}
 }
 
-// drawOf returns the hash of a server's id, for affinity.
-func drawOf(id sumachead.ServerID) uint64 {
+// hashOf returns the hash of a server's id, for affinity.
+func hashOf(id sumachead.ServerID) uint64 {
 	return bits.RotateLeft64(xxhash.Sum64String(string(id)), 32)
 }
 
-// backlog returns for how long the server has prompts to read, as far as is known.
+// backlog returns how long the server takes for the prefills that are known to be queued.
 func (s *server) backlog(now time.Time) time.Duration {
-	return max(s.busyUntil.Sub(now), 0) + max(s.othersAt(now).readUntil.Sub(now), 0)
+	return max(s.prefillDoneAt.Sub(now), 0) + max(s.remoteAt(now).prefillDoneAt.Sub(now), 0)
 }
 
-// running returns how many requests all routers have there.
-func (s *server) running(now time.Time) int { return len(s.runs) + s.othersAt(now).running }
+// running returns how many requests of all routers are in flight there.
+func (s *server) running(now time.Time) int { return len(s.inFlight) + s.remoteAt(now).running }
 
-// longRate returns how many long reads a second the server has had lately.
-func (s *server) longRate(now time.Time) float64 {
-	return (s.long.value(now, longMemory) + s.othersAt(now).long) / longMemory.Seconds()
+// stallRate returns the recent number of expected stalls per second.
+func (s *server) stallRate(now time.Time) float64 {
+	return (s.stalls.value(now, stallDecayTime) + s.remoteAt(now).stalls) / stallDecayTime.Seconds()
 }
 
-// cached returns how many tokens of the parts the server should still have.
-func (s *server) cached(parts []part) sumachead.Tokens {
+// cachedTokens returns how many tokens of the parts the server should have cached.
+func (s *server) cachedTokens(parts []part) sumachead.Tokens {
 	var sum sumachead.Tokens
 	for _, p := range parts {
 		if _, ok := s.parts[p.key]; !ok {
@@ -108,36 +108,36 @@
 	return sum
 }
 
-// bring notes that a part is there from now on, and reports whether it was not.
-func (s *server) bring(k partKey, now time.Time) bool {
+// addPart records that a part is cached as of now, and reports whether it was not before.
+func (s *server) addPart(k partKey, now time.Time) bool {
 	_, known := s.parts[k]
 	s.parts[k] = now
-	if len(s.parts) > partsKept {
-		s.trim()
+	if len(s.parts) > maxPartsPerServer {
+		s.evictParts()
 	}
 	return !known
 }
 
-// bring notes that an attempt brings a part to its server.
-func (l *Placement) bring(k partKey, now time.Time) {
-	if l.server.bring(k, now) {
-		l.brought = append(l.brought, k)
+// addPart records a part that an attempt adds to the cache of its server.
+func (l *Placement) addPart(k partKey, now time.Time) {
+	if l.server.addPart(k, now) {
+		l.addedParts = append(l.addedParts, k)
 	}
 }
 
-// unbring forgets the parts that an attempt was to bring, but for those that others have
-// brought since.
-func (s *server) unbring(l *Placement) {
-	for _, k := range l.brought {
-		if s.parts[k].Equal(l.begun) {
+// removeAddedParts removes the parts that an attempt was to add, except for those that later
+// attempts have added again.
+func (s *server) removeAddedParts(l *Placement) {
+	for _, k := range l.addedParts {
+		if s.parts[k].Equal(l.startedAt) {
 			delete(s.parts, k)
 		}
 	}
-	l.brought = nil
+	l.addedParts = nil
 }
 
-// trim forgets the half of the parts that was brought longest ago.
-func (s *server) trim() {
+// evictParts removes the least recently used half of the parts.
+func (s *server) evictParts() {
 	keys := slices.Collect(maps.Keys(s.parts))
 	slices.SortFunc(keys, func(a, b partKey) int { return s.parts[a].Compare(s.parts[b]) })
 	for _, k := range keys[:len(keys)/2] {
@@ -145,50 +145,50 @@
 	}
 }
 
-// noteSpeed learns from how long the server took to read what was expected to take a time
-// at the speed that it was thought to have.
-func (s *server) noteSpeed(expected, took time.Duration) {
-	if expected < factorFrom {
+// updateSlowdown updates the slowdown from the time that a prefill took and the time expected
+// with the current slowdown.
+func (s *server) updateSlowdown(expected, took time.Duration) {
+	if expected < minPrefillForSlowdown {
 		return
 	}
-	f := s.factor * float64(took) / float64(expected)
-	s.factor += factorWeight * (min(max(f, fastest), slowest) - s.factor)
+	f := s.slowdown * float64(took) / float64(expected)
+	s.slowdown += slowdownWeight * (min(max(f, minSlowdown), maxSlowdown) - s.slowdown)
 }
 
-// read brings busyUntil up to date after a prompt has been read or given up.
-func (s *server) read(now time.Time) {
+// updateBacklog updates prefillDoneAt after a prefill has ended or was cancelled.
+func (s *server) updateBacklog(now time.Time) {
 	left := time.Duration(0)
-	for _, l := range s.runs {
-		if l.firstAt.IsZero() {
-			left += l.read
+	for _, l := range s.inFlight {
+		if l.firstEventAt.IsZero() {
+			left += l.prefill
 		}
 	}
-	s.busyUntil = now.Add(min(left, max(s.busyUntil.Sub(now), 0)))
+	s.prefillDoneAt = now.Add(min(left, max(s.prefillDoneAt.Sub(now), 0)))
 }
 
-// drop takes a request off.
-func (s *server) drop(l *Placement, now time.Time) {
-	if i := slices.Index(s.runs, l); i >= 0 {
-		s.runs = slices.Delete(s.runs, i, i+1)
+// remove removes a request.
+func (s *server) remove(l *Placement, now time.Time) {
+	if i := slices.Index(s.inFlight, l); i >= 0 {
+		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	}
-	s.read(now)
+	s.updateBacklog(now)
 }
 
-// suspect passes the server over for a while after a failure.
-func (s *server) suspect(now time.Time) {
-	rest := min(suspectFirst<<min(s.failures, suspectDoublings), suspectMost)
+// eject excludes the server for a while after a failure.
+func (s *server) eject(now time.Time) {
+	ejection := min(minEjection<<min(s.failures, maxEjectionDoublings), maxEjection)
 	s.failures++
-	s.suspectTo = now.Add(rest)
+	s.ejectedUntil = now.Add(ejection)
 }
 
-// load is what a router is told of the others': all runs but its own, and the backlog and
-// the long reads of all.
-func (s *server) load(router string, now time.Time) *wire.ServerLoad {
+// loadFor returns the load reported to a router: the running requests of other routers, and the
+// backlog and stalls of all.
+func (s *server) loadFor(router string, now time.Time) *wire.ServerLoad {
 	l := &wire.ServerLoad{
 		ReadMillis:      s.backlog(now).Milliseconds(),
-		LongThousandths: int64(s.long.value(now, longMemory) * thousand),
+		LongThousandths: int64(s.stalls.value(now, stallDecayTime) * wireScale),
 	}
-	for _, r := range s.runs {
+	for _, r := range s.inFlight {
 		if r.router == router {
 			continue
 		}
@@ -196,38 +196,39 @@
 		if !r.inTime() {
 			continue
 		}
-		l.AtRisk += int64(r.worth)
-		if p := r.work.Pause.Milliseconds(); p > 0 && (l.PauseMillis == 0 || p < l.PauseMillis) {
+		l.AtRisk += int64(r.value)
+		if p := r.request.Pause.Milliseconds(); p > 0 && (l.PauseMillis == 0 || p < l.PauseMillis) {
 			l.PauseMillis = p
 		}
 	}
 	return l
 }
 
-// thousand is by how much counts are multiplied that are told as whole numbers.
-const thousand = 1000
+// wireScale is the factor for fractions that are sent as integers.
+const wireScale = 1000
 
-// told takes in what the gauge says of the server. Of what it says of all routers
-// together, this router's own is taken off, since it changes from now on.
-func (s *server) told(a *wire.GaugeAnswer, now time.Time) {
+// applyReport applies a report of the load tracker. Where the report covers all routers, the own
+// share is subtracted because it is tracked separately from now on.
+func (s *server) applyReport(a *wire.GaugeAnswer, now time.Time) {
 	l := a.GetLoad()
 	read := time.Duration(l.GetReadMillis()) * time.Millisecond
-	s.others = others{
-		at:        now,
-		running:   int(l.GetRunning()),
-		readUntil: now.Add(max(read-max(s.busyUntil.Sub(now), 0), 0)),
-		atRisk:    worth(l.GetAtRisk()),
-		pause:     time.Duration(l.GetPauseMillis()) * time.Millisecond,
-		long:      max(float64(l.GetLongThousandths())/thousand-s.long.value(now, longMemory), 0),
+	s.remote = remoteLoad{
+		at:            now,
+		running:       int(l.GetRunning()),
+		prefillDoneAt: now.Add(max(read-max(s.prefillDoneAt.Sub(now), 0), 0)),
+		atRisk:        requestValue(l.GetAtRisk()),
+		gapObjective:  time.Duration(l.GetPauseMillis()) * time.Millisecond,
+		stalls:        max(float64(l.GetLongThousandths())/wireScale-s.stalls.value(now, stallDecayTime), 0),
 	}
-	s.factor = float64(a.GetFactorThousandths()) / thousand
-	s.restTo = now.Add(time.Duration(a.GetRestMillis()) * time.Millisecond)
+	s.slowdown = float64(a.GetFactorThousandths()) / wireScale
+	s.backoffUntil = now.Add(time.Duration(a.GetRestMillis()) * time.Millisecond)
 }
 
-// othersAt returns what other routers have there; nothing once that was told too long ago.
-func (s *server) othersAt(now time.Time) others {
-	if now.Sub(s.others.at) > othersFor {
-		return others{}
+// remoteAt returns the load of other routers; zero if the last report is older than
+// remoteLoadTTL.
+func (s *server) remoteAt(now time.Time) remoteLoad {
+	if now.Sub(s.remote.at) > remoteLoadTTL {
+		return remoteLoad{}
 	}
-	return s.others
+	return s.remote
 }
