--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -1,14 +1,13 @@
-// Package patience decides how long a request waits for what it lacks, and when a caller
-// whose request is refused should come back.
+// Package patience decides how long a request waits for something it lacks, and when the
+// caller of a refused request should retry.
 //
-// What is lacking has a [sumachead.Prospect]: an estimate, learned from what was
-// observed, of when it will be there. A request waits exactly while that estimate lets
-// it still be of use to its caller, and is refused at the moment when it does not:
+// A [sumachead.Prospect] estimates, from past observations, when the missing thing will be
+// available. A request waits as long as the estimate lets it still be useful to its caller, and
+// is refused as soon as it does not:
 //
-//   - an estimate that is sure, since what is lacking is under way, is believed until the
-//     caller's deadline: a late answer is of some use, and coming back would not make it
-//     earlier;
-//   - one that is not sure is believed while the answer would be in time.
+//   - a sure estimate, of something known to be under way, is believed until the caller's
+//     deadline: a late response is of some use, and a retry would not make it earlier;
+//   - an unsure estimate is believed while the response would be in time.
 //
 // The package has no clock; callers pass times.
 package patience
@@ -21,39 +20,38 @@
 )
 
 const (
-	// leastWait keeps estimates from being looked at again too often: less than it
-	// takes to answer.
-	leastWait = 2 * time.Millisecond
-	// spreadPart is the part of the expected wait, one in so many, over which callers
-	// who come back are spread, and leastSpread the least time for it: what a router
-	// needs to serve some dozen of them.
-	spreadPart  = 2
-	leastSpread = 30 * time.Millisecond
-	// notSure is how many times as long as expected a caller stays away where the
-	// estimate is not sure. What has lasted for a time, of which nothing else is known,
-	// lasts as long again or less in one of two cases, and twice as long in two of
-	// three. Measured against 1 and 3: docs/DECISIONS.md.
-	notSure = 2
-	// ranks is how many ranks of urgency have a part of the spread of their own.
-	ranks = 4
+	// minRecheck is the minimum time between two looks at an estimate: less than the time to
+	// respond.
+	minRecheck = 2 * time.Millisecond
+	// jitterDivisor divides the expected wait to get the time over which retries are spread, and
+	// minJitter is the minimum of that time: what a router needs to serve some dozen of them.
+	jitterDivisor = 2
+	minJitter     = 30 * time.Millisecond
+	// unsureFactor is the multiple of the expected wait after which a caller retries if the
+	// estimate is unsure. Something that has lasted for a time, of which nothing else is known,
+	// lasts at most as long again in one of two cases, and at most twice as long in two of
+	// three. docs/DECISIONS.md compares it with 1 and 3.
+	unsureFactor = 2
+	// urgencyBands is how many urgency levels have their own part of the jitter.
+	urgencyBands = 4
 )
 
-// Use is until when an answer is of use to a caller.
+// Deadlines holds until when a response is useful to a caller.
 type Use struct {
-	// InTime is until when it is in time; zero where that is not known.
+	// Soft is until when the response is in time; zero if that is not known.
 	InTime time.Time
-	// Deadline is when the caller stops waiting; zero for never.
+	// Hard is when the caller stops waiting; zero for never.
 	Deadline time.Time
 }
 
-// Wait decides whether a request waits on. If so, the estimate is to be looked at again
-// at the time returned, unless something changes before.
-func Wait(p sumachead.Prospect, u Use, now time.Time) (again time.Time, wait bool) {
+// ShouldWait decides whether a request keeps waiting. If so, the estimate is to be checked again
+// at the returned time, unless something changes before.
+func Wait(p sumachead.Prospect, u Use, now time.Time) (recheckAt time.Time, wait bool) {
 	at, sure := p.Expect(now)
 	until := u.InTime
 	switch {
 	case sure && u.Deadline.IsZero():
-		until = at.Add(leastWait) // the caller waits for whatever comes
+		until = at.Add(minRecheck) // the caller waits without a limit
 	case sure:
 		until = u.Deadline
 	}
@@ -61,40 +59,39 @@
 	if at.IsZero() || left <= 0 {
 		return time.Time{}, false
 	}
-	// An estimate that grows as time passes, by as much as passes, meets the end of the
-	// use at half of what is left; one that does not come true turns when it is due.
-	return now.Add(max(min(left/2, at.Sub(now)), leastWait)), true
+	// An estimated wait that grows as fast as time passes reaches the deadline after half of the
+	// time left; any other estimate changes only when it is due.
+	return now.Add(max(min(left/2, at.Sub(now)), minRecheck)), true
 }
 
-// ComeBack returns when a caller who is refused should come back: when the request is
-// expected to be served, spread so that callers do not come together, the most urgent
-// first. Where that is not sure, half of the callers would come too early, and most have
-// no third try: they are told a later time, if it is before their deadline. It is zero
-// where coming back does not help.
+// RetryAt returns when the caller of a refused request should retry: when the request is
+// expected to be served, with jitter, and the most urgent callers first. If the estimate is
+// unsure, half of the callers would be too early, and most don't retry a second time: they are
+// told a later time if it is before their deadline. It returns zero if a retry does not help.
 func ComeBack(p sumachead.Prospect, u Use, urgency uint32, now time.Time) time.Time {
 	at, sure := p.Expect(now)
-	later := now.Add(notSure * at.Sub(now))
-	if !sure && !at.IsZero() && (u.Deadline.IsZero() || later.Before(u.Deadline)) {
-		at = later
+	delayed := now.Add(unsureFactor * at.Sub(now))
+	if !sure && !at.IsZero() && (u.Deadline.IsZero() || delayed.Before(u.Deadline)) {
+		at = delayed
 	}
 	return Spread(at, u, urgency, now)
 }
 
-// Spread returns when a caller should come back who could be served from a time on.
+// JitteredRetryAt returns when a caller that can be served from a given time on should retry.
 func Spread(at time.Time, u Use, urgency uint32, now time.Time) time.Time {
 	if at.IsZero() || !u.Deadline.IsZero() && !at.Before(u.Deadline) {
 		return time.Time{}
 	}
-	over := max(at.Sub(now)/spreadPart, leastSpread)
-	part := (float64(min(urgency, ranks-1)) + rand.Float64()) / ranks
-	back := at.Add(time.Duration(part * float64(over)))
-	if back.Before(now) {
+	jitter := max(at.Sub(now)/jitterDivisor, minJitter)
+	fraction := (float64(min(urgency, urgencyBands-1)) + rand.Float64()) / urgencyBands
+	retryAt := at.Add(time.Duration(fraction * float64(jitter)))
+	if retryAt.Before(now) {
 		return now
 	}
-	return back
+	return retryAt
 }
 
-// AsLong is the prospect of something that has been lacking since a time, of which
+// ElapsedEstimate is the estimate for something that has been missing since a time, of which
 // nothing else is known: it is expected to take as long again.
 type AsLong struct{ Since time.Time }
 
@@ -103,18 +100,18 @@
 	return now.Add(now.Sub(p.Since)), false
 }
 
-// Told is the prospect of something that others have said will be there at a time, which they
-// may not keep to.
+// ReportedEstimate is the estimate for something that others have announced for a time, without
+// a guarantee.
 type Told struct{ At time.Time }
 
 // Expect implements sumachead.Prospect.
 func (p Told) Expect(time.Time) (at time.Time, sure bool) { return p.At, false }
 
-// Usual is the prospect of something that is under way since a time and usually takes
-// so long: it is sure until then, and then as long again is expected.
+// TypicalEstimate is the estimate for something under way that usually takes a known time: it is
+// sure until that has passed, and then the same time as has elapsed is expected again.
 type Usual struct {
 	Since time.Time
-	// By is when it should be there.
+	// By is when it should be available.
 	By time.Time
 }
 
