--- a/internal/escrow/reservation.go
+++ b/internal/escrow/reservation.go
@@ -25,7 +25,7 @@
 // asks the ledger, and waits while what is expected of it is of use to the caller, or
 // until ctx ends or the ledger says that the budget is used up. The urgency is the
 // caller's rank among those who come back. The error is a [*sumachead.Refusal].
-func (w *Wallet) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Use, urgency uint32) (*Reservation, error) {
+func (w *Wallet) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Deadlines, urgency uint32) (*Reservation, error) {
 	begun := time.Now()
 	r, a, changed := w.try(id, bound, begun, true)
 	if a == short {
@@ -40,9 +40,9 @@
 			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonBudgetExhausted, "the workspace's budget does not hold the request", time.Time{})
 		}
 		now := time.Now()
-		again, wait := patience.Wait(p, u, now)
+		again, wait := patience.ShouldWait(p, u, now)
 		if !wait {
-			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonLedgerUnreached, "too little escrow at hand", patience.ComeBack(p, u, urgency, now))
+			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonLedgerUnreached, "too little escrow at hand", patience.RetryAt(p, u, urgency, now))
 		}
 		if !loop.Pause(ctx, changed, again) {
 			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonDeadlinePassed, "the caller has gone", time.Time{})
@@ -84,7 +84,7 @@
 	since, held := w.purse(id).shortSince, w.purse(id).heldTo
 	w.mu.Unlock()
 	if w.Prospect == nil {
-		return patience.AsLong{Since: since}
+		return patience.ElapsedEstimate{Since: since}
 	}
 	return w.Prospect(moment.Later(asked, held), since)
 }
--- a/internal/escrow/waiting_test.go
+++ b/internal/escrow/waiting_test.go
@@ -21,7 +21,7 @@
 	const objective = 200 * time.Millisecond
 	ask := func(bound sumachead.Tokens) (*Reservation, time.Duration, *sumachead.Refusal) {
 		begun := time.Now()
-		r, err := h.Reserve(context.Background(), clerks, bound, patience.Use{InTime: begun.Add(objective)}, 0)
+		r, err := h.Reserve(context.Background(), clerks, bound, patience.Deadlines{Soft: begun.Add(objective)}, 0)
 		var f *sumachead.Refusal
 		if err != nil && !errors.As(err, &f) {
 			t.Fatal(err)
@@ -59,11 +59,11 @@
 	var askedFrom time.Time
 	h.Prospect = func(asked, _ time.Time) sumachead.Prospect {
 		askedFrom = asked
-		return patience.Told{}
+		return patience.ReportedEstimate{}
 	}
 	ask := func(id sumachead.WorkspaceID) time.Duration {
 		begun := time.Now()
-		if _, err := h.Reserve(context.Background(), id, 1000, patience.Use{InTime: begun.Add(time.Second)}, 0); err == nil {
+		if _, err := h.Reserve(context.Background(), id, 1000, patience.Deadlines{Soft: begun.Add(time.Second)}, 0); err == nil {
 			t.Fatal("money where none was granted")
 		}
 		return askedFrom.Sub(begun)
--- a/internal/fleetclient/escrow_test.go
+++ b/internal/fleetclient/escrow_test.go
@@ -79,7 +79,7 @@
 // took; negative where it was refused.
 func reserve(w *escrow.Wallet, id sumachead.WorkspaceID, u time.Duration) time.Duration {
 	begun := time.Now()
-	use := patience.Use{InTime: begun.Add(u), Deadline: begun.Add(2 * u)}
+	use := patience.Deadlines{Soft: begun.Add(u), Hard: begun.Add(2 * u)}
 	if _, err := w.Reserve(context.Background(), id, 1000, use, 0); err != nil {
 		return -time.Since(begun)
 	}
--- a/internal/fleetclient/ledgertimes.go
+++ b/internal/fleetclient/ledgertimes.go
@@ -113,7 +113,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if out := t.outSince(now); !out.IsZero() {
-		return patience.AsLong{Since: out}.Expect(now)
+		return patience.ElapsedEstimate{Since: out}.Expect(now)
 	}
-	return patience.Usual{Since: p.since, By: p.asked.Add(reportGap + t.expected())}.Expect(now)
+	return patience.TypicalEstimate{Since: p.since, By: p.asked.Add(reportGap + t.expected())}.Expect(now)
 }
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -107,15 +107,15 @@
 		if due := d.checks.due(all, d.unchecked, now); len(due) > 0 {
 			go d.check(due, d.x.service.GetHealthPath())
 		}
-		p := patience.Usual{Since: since, By: since.Add(d.Heartbeat)}
-		again, wait := patience.Wait(p, d.x.use(), now)
+		p := patience.TypicalEstimate{Since: since, By: since.Add(d.Heartbeat)}
+		again, wait := patience.ShouldWait(p, d.x.use(), now)
 		switch {
 		case len(all) == 0 && d.servers.OnlyVacated(d.x.service.GetName(), d.homes, now):
 			return nil, refuseFinally(sumachead.ReasonNoServer, "all data halls with servers that the request may be sent to are vacated")
 		case !wait && len(all) > 0:
 			return all, nil
 		case !wait:
-			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonNoServer, "no backend server is known to run", patience.ComeBack(p, d.x.use(), d.x.urgency(), now))
+			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonNoServer, "no backend server is known to run", patience.RetryAt(p, d.x.use(), d.x.urgency(), now))
 		}
 		if next := now.Add(checkAgain); next.Before(again) {
 			again = next
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -47,7 +47,7 @@
 			if err == nil {
 				return l, nil
 			}
-			l.NotRun(time.Now())
+			l.CancelNotRun(time.Now())
 			if !errors.Is(err, errApart) {
 				return nil, err
 			}
@@ -69,7 +69,7 @@
 // awaitServer waits, while that is of use, until one of some servers should take the request,
 // none of which does now. The error is how it ends otherwise.
 func (d *dispatch) awaitServer(servers []*wire.ServerRecord, held *heldUp) error {
-	if ends := d.chooser.RestEnds(servers, d.tried, time.Now()); !ends.IsZero() {
+	if ends := d.chooser.BackoffEnd(servers, d.tried, time.Now()); !ends.IsZero() {
 		return d.awaitRest(servers, held, ends)
 	}
 	switch {
@@ -87,7 +87,7 @@
 	w := d.x.work()
 	few := d.chooser.Candidates(servers, passed, w, time.Now())
 	d.gauges.ask(d.ctx, few, w)
-	if more := d.chooser.Further(servers, few, passed, w, time.Now()); len(more) > 0 {
+	if more := d.chooser.MoreCandidates(servers, few, passed, w, time.Now()); len(more) > 0 {
 		d.gauges.ask(d.ctx, more, w)
 		few = slices.Concat(few, more)
 	}
@@ -137,7 +137,7 @@
 	if limited {
 		d.limits.Denials.Set(id, again)
 	}
-	l.NotRun(now)
+	l.CancelNotRun(now)
 	return false
 }
 
@@ -172,14 +172,14 @@
 // which ones had none.
 func (d *dispatch) awaitGrant(held *heldUp) error {
 	now := time.Now()
-	p := patience.Usual{Since: held.since, By: held.next}
-	again, wait := patience.Wait(p, d.x.use(), now)
+	p := patience.TypicalEstimate{Since: held.since, By: held.next}
+	again, wait := patience.ShouldWait(p, d.x.use(), now)
 	if !wait {
 		const detail = "the servers that are left are cold and get no more at present"
 		if d.mayHaveRun {
 			return d.giveUp(d.last.Reason, detail)
 		}
-		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonCold, detail, patience.ComeBack(p, d.x.use(), d.x.urgency(), now))
+		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonCold, detail, patience.RetryAt(p, d.x.use(), d.x.urgency(), now))
 	}
 	if !loop.Sleep(d.ctx, again.Sub(now)) {
 		return d.ended()
@@ -193,14 +193,14 @@
 // refused at once: its caller is told when that is, spread so that callers don't come together.
 func (d *dispatch) awaitRest(servers []*wire.ServerRecord, held *heldUp, ends time.Time) error {
 	now := time.Now()
-	if _, wait := patience.Wait(patience.Told{At: ends}, d.x.use(), now); !wait {
+	if _, wait := patience.ShouldWait(patience.ReportedEstimate{At: ends}, d.x.use(), now); !wait {
 		if d.anyLimited(servers) {
 			return d.giveUp(sumachead.ReasonLimited, "all servers that are left limit requests and get no more at present")
 		}
 		return d.giveUp(sumachead.ReasonResting, "all servers that are left have asked for rest")
 	}
 	held.servers = nil
-	again := moment.Later(patience.Spread(ends, d.x.use(), d.x.urgency(), now), ends)
+	again := moment.Later(patience.JitteredRetryAt(ends, d.x.use(), d.x.urgency(), now), ends)
 	if !loop.Sleep(d.ctx, again.Sub(now)) {
 		return d.ended()
 	}
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -144,14 +144,14 @@
 // be served.
 func (d *dispatch) refuse(reason sumachead.Reason, detail string) error {
 	now := time.Now()
-	at := d.chooser.FreeAt(d.known(), now)
+	at := d.chooser.AvailableAt(d.known(), now)
 	switch {
 	case reason == sumachead.ReasonRetryBudget:
 		at = d.retries.nextAt(now, d.client.Routers())
 	case at.IsZero():
 		at = now.Add(d.Heartbeat) // a server that is there tells of itself by then
 	}
-	return sumachead.Refuse(sumachead.NotRun, reason, detail, patience.Spread(at, d.x.use(), d.x.urgency(), now))
+	return sumachead.Refuse(sumachead.NotRun, reason, detail, patience.JitteredRetryAt(at, d.x.use(), d.x.urgency(), now))
 }
 
 // ended is the end of a request whose time is up or whose caller has gone.
@@ -193,7 +193,7 @@
 }
 
 // send makes the attempt and waits for the head of its answer.
-func (d *dispatch) send(l *place.Placement, id sumachead.ServerID) (*upstream.Answer, error) {
+func (d *dispatch) send(l *place.Placement, id sumachead.ServerID) (*upstream.Response, error) {
 	x := d.x
 	t := &sumachead.Attempt{Server: id, Workspace: x.workspace(), Deadline: x.deadline, Urgency: x.urgency(), FetchFrom: l.FetchFrom}
 	if d.stream != nil {
@@ -228,7 +228,7 @@
 	case tellsOfFailure(f.Reason):
 		l.Done(false, time.Now())
 	default:
-		l.NotRun(time.Now())
+		l.CancelNotRun(time.Now())
 	}
 	return err
 }
@@ -240,13 +240,13 @@
 }
 
 // relay brings a server's answer to the caller.
-func (d *dispatch) relay(l *place.Placement, a *upstream.Answer) error {
+func (d *dispatch) relay(l *place.Placement, a *upstream.Response) error {
 	switch {
 	case a.Head.NotRun || a.Head.Stale:
 		reason := sumachead.ReasonBusy
 		if rest := a.Head.RestUntil; !rest.IsZero() {
 			reason = sumachead.ReasonResting
-			l.Rests(time.Until(rest))
+			l.ReportBackoff(time.Until(rest))
 		}
 		if a.Head.Stale {
 			// Another life answers at the address: this one is over, so that
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -115,13 +115,13 @@
 }
 
 // use returns until when an answer is of use to the caller.
-func (x *exchange) use() patience.Use {
-	u := patience.Use{Deadline: x.request.Deadline}
+func (x *exchange) use() patience.Deadlines {
+	u := patience.Deadlines{Hard: x.request.Deadline}
 	if !x.deadline.IsZero() {
-		u.Deadline = x.deadline
+		u.Hard = x.deadline
 	}
 	if o := x.objective(); o > 0 {
-		u.InTime = x.arrived.Add(o)
+		u.Soft = x.arrived.Add(o)
 	}
 	return u
 }
@@ -132,12 +132,12 @@
 }
 
 // work returns the request as the choice of a server sees it.
-func (x *exchange) work() *place.Work {
-	w := &place.Work{
-		Route: x.route.GetName(), Prompt: x.request.PromptTokens, Answer: x.request.AnswerTokens, Parts: x.request.Parts,
-		Pause: x.pauseObjective(), Engine: x.service.GetEngine(),
+func (x *exchange) work() *place.Request {
+	w := &place.Request{
+		Route: x.route.GetName(), PromptTokens: x.request.PromptTokens, MaxOutputTokens: x.request.AnswerTokens, Parts: x.request.Parts,
+		MaxEventGap: x.pauseObjective(), Engine: x.service.GetEngine(),
 	}
-	w.FirstBy, w.Deadline = x.use().InTime, x.deadline
+	w.FirstEventDeadline, w.Deadline = x.use().Soft, x.deadline
 	return w
 }
 
@@ -197,9 +197,9 @@
 		fields = append(fields, "declaration", x.view.Number)
 	}
 	if l := x.placement; l != nil {
-		first, backlog := l.Expected()
-		fields = append(fields, "server", l.Record.GetId(), "home", l.Home, "prompt", x.request.PromptTokens,
-			"unread", l.Unread(), "backlog", backlog, "expected", first.Sub(x.arrived), "running", l.Running, "told", l.Told, "cold", l.Cold)
+		first, backlog := l.Predicted()
+		fields = append(fields, "server", l.Record.GetId(), "home", l.Preferred, "prompt", x.request.PromptTokens,
+			"unread", l.UncachedTokens(), "backlog", backlog, "expected", first.Sub(x.arrived), "running", l.Running, "told", l.LoadAge, "cold", l.Cold)
 		if x.limit > 0 {
 			fields = append(fields, "limit", x.limit)
 		}
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -30,13 +30,13 @@
 
 // awaitDeclaration waits for the first declaration while that is of use.
 func (g *Gateway) awaitDeclaration(x *exchange) error {
-	p := patience.Usual{Since: g.startedAt, By: g.startedAt.Add(startMost)}
+	p := patience.TypicalEstimate{Since: g.startedAt, By: g.startedAt.Add(startMost)}
 	u := x.use()
 	for {
 		now := time.Now()
-		again, wait := patience.Wait(p, u, now)
+		again, wait := patience.ShouldWait(p, u, now)
 		if !wait {
-			return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonSettingsStale, "no declaration is known yet", patience.ComeBack(p, u, 0, now))
+			return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonSettingsStale, "no declaration is known yet", patience.RetryAt(p, u, 0, now))
 		}
 		if !loop.Pause(x.ctx, g.client.Known(), again) {
 			return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonDeadlinePassed, "the caller has gone", time.Time{})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,7 +83,7 @@
 	borrower *lending.Borrower
 	servers  *registry.Table
 	upstream *upstream.Pool
-	chooser  *place.Chooser
+	chooser  *place.Scheduler
 	gauges   *gauges
 	retries  *retryAllowance
 	checks   checks
@@ -140,15 +140,15 @@
 	g.borrower.Prepare()
 	g.rests = &backoff.Table{Clock: boottime.Clock{}}
 	g.upstream = &upstream.Pool{
-		Dialect: g.Dialect, OnDial: g.metrics.dials.Inc, OnNotice: g.noteNotice, Unwanted: g.unwanted,
+		Dialect: g.Dialect, OnDial: g.metrics.dials.Inc, OnNotice: g.noteNotice, BlockReason: g.unwanted,
 	}
-	g.ends.Refuses = g.upstream.Refuses
+	g.ends.Refuses = g.upstream.RefusesConnections
 	g.servers.OnOver = func(r *wire.ServerRecord) {
-		g.upstream.End(upstream.Server{ID: sumachead.ServerID(r.GetId()), Address: r.GetAddress()})
+		g.upstream.CloseServer(upstream.Server{ID: sumachead.ServerID(r.GetId()), Address: r.GetAddress()})
 	}
-	g.chooser = place.NewChooser(g.Hall)
+	g.chooser = place.NewScheduler(g.Hall)
 	g.limits.Denials = &backoff.Table{Clock: boottime.Clock{}}
-	g.chooser.Rest = func(id sumachead.ServerID) time.Duration {
+	g.chooser.Backoff = func(id sumachead.ServerID) time.Duration {
 		return max(g.rests.Remaining(id), g.limits.Denials.Remaining(id))
 	}
 	g.chooser.Limited = func(id sumachead.ServerID) bool { return g.limits.Get(id).Rate > 0 }
@@ -171,9 +171,9 @@
 	tasks.Go(func() error { return g.reporter.Run(work) })
 	tasks.Go(func() error {
 		return loop.Every(work, tidyEvery, func() {
-			g.upstream.Tidy(time.Now())
+			g.upstream.Prune(time.Now())
 			g.Pool.Tidy(time.Now())
-			g.chooser.Tidy(time.Now())
+			g.chooser.Prune(time.Now())
 			g.servers.Forget(time.Now())
 			g.checks.forget(time.Now())
 			g.ends.forget(time.Now())
--- a/internal/gateway/gauges.go
+++ b/internal/gateway/gauges.go
@@ -51,7 +51,7 @@
 	// Address returns where the gauge of an engine is; empty where there is none.
 	Address func(*wire.ServerRecord) string
 	Pool    *rpc.Pool
-	Chooser *place.Chooser
+	Chooser *place.Scheduler
 	// Limits receives the request limits that gauges know of.
 	Limits *ratelimit.Table
 
@@ -78,16 +78,16 @@
 	g.usual = firstAsk
 	g.restTo = make(map[string]time.Time)
 	g.notes.Most, g.notes.Send = notesAtOnce, g.sendNotes
-	g.Chooser.Tell = g.tell
+	g.Chooser.SendUpdate = g.tell
 }
 
 // ask asks the gauges of some servers, and waits for their answers for as long as nearly
 // all of them take. Answers that come later are of use to the next request.
-func (g *gauges) ask(ctx context.Context, servers []*wire.ServerRecord, w *place.Work) {
+func (g *gauges) ask(ctx context.Context, servers []*wire.ServerRecord, w *place.Request) {
 	if g.Address == nil || w.Engine == nil {
 		return
 	}
-	keys := w.Keys()
+	keys := w.PartKeys()
 	answered := make(chan struct{}, len(servers))
 	asked := 0
 	for _, r := range servers {
@@ -118,7 +118,7 @@
 }
 
 // askOne asks one gauge.
-func (g *gauges) askOne(address string, r *wire.ServerRecord, w *place.Work, keys []uint64) {
+func (g *gauges) askOne(address string, r *wire.ServerRecord, w *place.Request, keys []uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
 	begun := time.Now()
@@ -130,7 +130,7 @@
 	now := time.Now()
 	g.took(now.Sub(begun))
 	g.noteLimit(sumachead.ServerID(r.GetId()), a.GetLimit())
-	g.Chooser.Told(sumachead.ServerID(r.GetId()), w, a, now)
+	g.Chooser.ApplyReport(sumachead.ServerID(r.GetId()), w, a, now)
 }
 
 // noteLimit takes in what a gauge knows of a server's request limit; nil for nothing.
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -90,8 +90,8 @@
 			g := newGateway(t, single, false, map[string]string{"a": a.listen(t, ok), "b": b.listen(t, ok), "c": c.listen(t, ok)})
 			g.retries.extra, g.retries.ratio = 0, 0 // nothing may be sent again
 			var first sumachead.ServerID
-			unwanted := g.upstream.Unwanted
-			g.upstream.Unwanted = func(id sumachead.ServerID) sumachead.Reason {
+			unwanted := g.upstream.BlockReason
+			g.upstream.BlockReason = func(id sumachead.ServerID) sumachead.Reason {
 				if first == "" {
 					first = id
 					g.noteNotice(id, tt.says, 0)
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -44,7 +44,7 @@
 			if n := a.runs.Load() + b.runs.Load(); n != tt.runs {
 				t.Errorf("%d servers were sent the request, want %d", n, tt.runs)
 			}
-			free := g.chooser.FreeAt(g.servers.Servers("pool", nil), time.Now())
+			free := g.chooser.AvailableAt(g.servers.Servers("pool", nil), time.Now())
 			if doubted := free.After(time.Now()); doubted != tt.doubted {
 				t.Errorf("servers are doubted: %v", doubted)
 			}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -30,14 +30,14 @@
 const sizeUnknown = -1
 
 // drain reads an answer that nobody wants.
-func drain(a *upstream.Answer) {
+func drain(a *upstream.Response) {
 	// Whether it was read to its end shows when the answer is closed.
 	_, _ = io.CopyN(io.Discard, a, drainBytes)
 }
 
 // relayWhole passes a plain answer on once it is there to its end, so that one
 // that breaks off can be asked for elsewhere.
-func (d *dispatch) relayWhole(a *upstream.Answer) error {
+func (d *dispatch) relayWhole(a *upstream.Response) error {
 	body, err := io.ReadAll(io.LimitReader(a, maxWhole+1))
 	switch {
 	case err != nil:
@@ -89,7 +89,7 @@
 
 // relayEvents passes events on as they come, whole ones only. A stream that
 // breaks off may go on elsewhere, after the last event that was passed on.
-func (d *dispatch) relayEvents(l *place.Placement, a *upstream.Answer) error {
+func (d *dispatch) relayEvents(l *place.Placement, a *upstream.Response) error {
 	s := d.stream
 	s.buffer = s.buffer[:0]
 	const readSize = 4 << 10
@@ -113,7 +113,7 @@
 }
 
 // passEvents passes on the whole events in the buffer.
-func (d *dispatch) passEvents(l *place.Placement, a *upstream.Answer) error {
+func (d *dispatch) passEvents(l *place.Placement, a *upstream.Response) error {
 	s := d.stream
 	end := bytes.LastIndex(s.buffer, eventEnd)
 	if end < 0 {
@@ -122,13 +122,13 @@
 	end += len(eventEnd)
 	part := s.buffer[:end]
 	now := time.Now()
-	l.First(now)
+	l.RecordFirstEvent(now)
 	if s.header == nil {
 		s.header = a.Header
 		d.x.start(a.Status, a.Header, sizeUnknown)
 	}
 	if d.x.noteEvent(now) {
-		l.Late()
+		l.RecordLate()
 	}
 	for event := range bytes.SplitAfterSeq(part, eventEnd) {
 		s.note(event, d.x)
@@ -154,7 +154,7 @@
 }
 
 // endStream ends a stream that the server has ended.
-func (d *dispatch) endStream(a *upstream.Answer) error {
+func (d *dispatch) endStream(a *upstream.Response) error {
 	s := d.stream
 	if s.header == nil {
 		d.x.start(a.Status, a.Header, sizeUnknown)
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -55,7 +55,7 @@
 // noteSample takes in what became of an attempt that was to reach a server, for roll-outs. What
 // the caller, a connection that could not be opened, or a full server caused tells nothing of a
 // version.
-func (d *dispatch) noteSample(l *place.Placement, a *upstream.Answer, err error) {
+func (d *dispatch) noteSample(l *place.Placement, a *upstream.Response, err error) {
 	if !d.sampler.Going(l.Record.GetService()) {
 		return
 	}
@@ -75,7 +75,7 @@
 		// It took so long at least; whether that is too long shows only beyond the objective.
 		s.Counts = d.x.firstAt.IsZero() && time.Since(d.sentAt) > d.x.objective()
 		s.First = d.firstTook(l, time.Now())
-	case f.Broke():
+	case f.ConnectionLost():
 		go d.noteBroken(l, s)
 		return
 	default:
@@ -104,7 +104,7 @@
 	if d.x.service.GetEngine() == nil {
 		return took
 	}
-	return took * readBase / time.Duration(readBase+l.Unread())
+	return took * readBase / time.Duration(readBase+l.UncachedTokens())
 }
 
 // paceTook returns the mean time between the events of an answer that has just ended; 0 for one
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -206,7 +206,7 @@
 // It returns nil where there is nothing to find out.
 func (d *dispatch) learn(f *upstream.Failure) *learning {
 	r := d.x.placement.Record
-	if !f.Broke() || f.Verdict == sumachead.NotRun || d.ctx.Err() != nil || d.servers.Leaving(r.GetId()) {
+	if !f.ConnectionLost() || f.Verdict == sumachead.NotRun || d.ctx.Err() != nil || d.servers.Leaving(r.GetId()) {
 		return nil
 	}
 	l := &learning{done: make(chan struct{})}
@@ -289,7 +289,7 @@
 	}
 	now := time.Now()
 	return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonSuspected, "servers have ended under this request, and it runs elsewhere or no keeper is reached",
-		patience.Spread(now.Add(trialAgain), d.x.use(), d.x.urgency(), now))
+		patience.JitteredRetryAt(now.Add(trialAgain), d.x.use(), d.x.urgency(), now))
 }
 
 // settleTrial tells the keepers how a request ended of which something is held; an end of its
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -38,7 +38,7 @@
 	// still be on its way.
 	Since time.Time
 
-	gauge  place.Gauge
+	gauge  place.LoadTracker
 	limits ratelimit.Table
 
 	mu      sync.Mutex // guards permits
@@ -47,7 +47,7 @@
 
 // Ask answers a router that is about to choose.
 func (s *Service) Ask(q *wire.GaugeQuestion, answer *wire.GaugeAnswer) error {
-	a := s.gauge.Answer(q, time.Now())
+	a := s.gauge.Query(q, time.Now())
 	proto.Merge(answer, a)
 	answer.Limit = s.limits.Get(sumachead.ServerID(q.GetServer())).ToWire(boottime.Clock{}.Now())
 	return nil
@@ -55,7 +55,7 @@
 
 // Note takes in what a router tells of its requests.
 func (s *Service) Note(n *wire.GaugeNotes, _ *wire.Empty) error {
-	s.gauge.Note(n, time.Now())
+	s.gauge.Update(n, time.Now())
 	for _, x := range n.GetNotes() {
 		s.noteLimit(sumachead.ServerID(n.GetServer()), x.GetLimit())
 	}
--- a/internal/lending/borrower.go
+++ b/internal/lending/borrower.go
@@ -64,7 +64,7 @@
 // Reserve holds bound of a workspace's money at the workspace's lender, or in this router's
 // own wallet: where its own demand is large (demand.go), and where no lender can know more.
 // The error is a [*sumachead.Refusal].
-func (b *Borrower) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Use, urgency uint32) (sumachead.Reservation, error) {
+func (b *Borrower) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Deadlines, urgency uint32) (sumachead.Reservation, error) {
 	if b.demand.note(id, time.Now()) {
 		if m := b.Wallet.Try(id, bound); m != nil {
 			return m, nil
@@ -115,11 +115,11 @@
 
 // borrow asks one lender: at first for what it has at hand, and, where that is too little,
 // to wait for more.
-func (b *Borrower) borrow(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Use) (sumachead.Reservation, error) {
+func (b *Borrower) borrow(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Deadlines) (sumachead.Reservation, error) {
 	reply, err := b.ask(ctx, lender, r, u, time.Now().Add(answerWithin))
 	if err == nil && reply.GetShort() {
 		r.Wait = true
-		reply, err = b.ask(ctx, lender, r, u, u.Deadline)
+		reply, err = b.ask(ctx, lender, r, u, u.Hard)
 	}
 	switch {
 	case ctx.Err() != nil:
@@ -138,19 +138,19 @@
 
 // ask puts one question to a lender, under a number of its own. If there is no answer the
 // loan is ended: it may have been made.
-func (b *Borrower) ask(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Use, until time.Time) (*wire.LoanReply, error) {
+func (b *Borrower) ask(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Deadlines, until time.Time) (*wire.LoanReply, error) {
 	now := time.Now()
 	r.Number = b.number.Add(1)
-	r.DeadlineMicros = max(u.Deadline.Sub(now).Microseconds(), 1)
+	r.DeadlineMicros = max(u.Hard.Sub(now).Microseconds(), 1)
 	r.InTimeMicros = 0
-	if !u.InTime.IsZero() {
-		r.InTimeMicros = max(u.InTime.Sub(now).Microseconds(), 1)
+	if !u.Soft.IsZero() {
+		r.InTimeMicros = max(u.Soft.Sub(now).Microseconds(), 1)
 	}
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	reply, err := rpc.Call[wire.LoanReply](ctx, b.Pool.Get(lender), Name+".Reserve", r)
 	if err != nil && !errors.Is(err, rpc.ErrNotSent) {
-		b.bill(lender, r.GetNumber(), 0, u.Deadline)
+		b.bill(lender, r.GetNumber(), 0, u.Hard)
 	}
 	return reply, err
 }
--- a/internal/lending/lender.go
+++ b/internal/lending/lender.go
@@ -105,9 +105,9 @@
 	if !r.GetWait() {
 		return nil, nil
 	}
-	u := patience.Use{Deadline: deadline}
+	u := patience.Deadlines{Hard: deadline}
 	if in := r.GetInTimeMicros(); in > 0 {
-		u.InTime = now.Add(time.Duration(in) * time.Microsecond)
+		u.Soft = now.Add(time.Duration(in) * time.Microsecond)
 	}
 	m, err := l.Wallet.Reserve(ctx, id, bound, u, r.GetUrgency())
 	if err != nil {
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -82,9 +82,9 @@
 }
 
 // soon is until when answers of the tests' requests are of use.
-func soon() patience.Use {
+func soon() patience.Deadlines {
 	now := time.Now()
-	return patience.Use{InTime: now.Add(200 * time.Millisecond), Deadline: now.Add(2 * time.Second)}
+	return patience.Deadlines{Soft: now.Add(200 * time.Millisecond), Hard: now.Add(2 * time.Second)}
 }
 
 func TestMoneyIsLentAndSettled(t *testing.T) {
@@ -253,7 +253,7 @@
 	rs := hall(t, 100, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Millisecond)
 	defer cancel()
-	u := patience.Use{Deadline: time.Now().Add(time.Minute)}
+	u := patience.Deadlines{Hard: time.Now().Add(time.Minute)}
 	if _, err := rs[1].Borrower.Reserve(ctx, clerks, 600, u, 0); err == nil {
 		t.Fatal("lent more than there was")
 	}
--- a/internal/lending/model_test.go
+++ b/internal/lending/model_test.go
@@ -96,7 +96,7 @@
 		// One that gave up before makes the next report ask the ledger for it.
 		gone, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, _ = n.wallet.Reserve(gone, clerks, bound, patience.Use{Deadline: time.Now().Add(time.Second)}, 0)
+		_, _ = n.wallet.Reserve(gone, clerks, bound, patience.Deadlines{Hard: time.Now().Add(time.Second)}, 0)
 		m.report(n, rapid.IntRange(0, 4).Draw(t, "reply lost") == 0)
 	}
 	if err := n.lender.Reserve(r, reply); err != nil {
--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -37,23 +37,23 @@
 )
 
 // Deadlines holds until when a response is useful to a caller.
-type Use struct {
+type Deadlines struct {
 	// Soft is until when the response is in time; zero if that is not known.
-	InTime time.Time
+	Soft time.Time
 	// Hard is when the caller stops waiting; zero for never.
-	Deadline time.Time
+	Hard time.Time
 }
 
 // ShouldWait decides whether a request keeps waiting. If so, the estimate is to be checked again
 // at the returned time, unless something changes before.
-func Wait(p sumachead.Prospect, u Use, now time.Time) (recheckAt time.Time, wait bool) {
+func ShouldWait(p sumachead.Prospect, u Deadlines, now time.Time) (recheckAt time.Time, wait bool) {
 	at, sure := p.Expect(now)
-	until := u.InTime
+	until := u.Soft
 	switch {
-	case sure && u.Deadline.IsZero():
+	case sure && u.Hard.IsZero():
 		until = at.Add(minRecheck) // the caller waits without a limit
 	case sure:
-		until = u.Deadline
+		until = u.Hard
 	}
 	left := until.Sub(at)
 	if at.IsZero() || left <= 0 {
@@ -68,18 +68,18 @@
 // expected to be served, with jitter, and the most urgent callers first. If the estimate is
 // unsure, half of the callers would be too early, and most don't retry a second time: they are
 // told a later time if it is before their deadline. It returns zero if a retry does not help.
-func ComeBack(p sumachead.Prospect, u Use, urgency uint32, now time.Time) time.Time {
+func RetryAt(p sumachead.Prospect, u Deadlines, urgency uint32, now time.Time) time.Time {
 	at, sure := p.Expect(now)
 	delayed := now.Add(unsureFactor * at.Sub(now))
-	if !sure && !at.IsZero() && (u.Deadline.IsZero() || delayed.Before(u.Deadline)) {
+	if !sure && !at.IsZero() && (u.Hard.IsZero() || delayed.Before(u.Hard)) {
 		at = delayed
 	}
-	return Spread(at, u, urgency, now)
+	return JitteredRetryAt(at, u, urgency, now)
 }
 
 // JitteredRetryAt returns when a caller that can be served from a given time on should retry.
-func Spread(at time.Time, u Use, urgency uint32, now time.Time) time.Time {
-	if at.IsZero() || !u.Deadline.IsZero() && !at.Before(u.Deadline) {
+func JitteredRetryAt(at time.Time, u Deadlines, urgency uint32, now time.Time) time.Time {
+	if at.IsZero() || !u.Hard.IsZero() && !at.Before(u.Hard) {
 		return time.Time{}
 	}
 	jitter := max(at.Sub(now)/jitterDivisor, minJitter)
@@ -93,32 +93,32 @@
 
 // ElapsedEstimate is the estimate for something that has been missing since a time, of which
 // nothing else is known: it is expected to take as long again.
-type AsLong struct{ Since time.Time }
+type ElapsedEstimate struct{ Since time.Time }
 
 // Expect implements sumachead.Prospect.
-func (p AsLong) Expect(now time.Time) (at time.Time, sure bool) {
+func (p ElapsedEstimate) Expect(now time.Time) (at time.Time, sure bool) {
 	return now.Add(now.Sub(p.Since)), false
 }
 
 // ReportedEstimate is the estimate for something that others have announced for a time, without
 // a guarantee.
-type Told struct{ At time.Time }
+type ReportedEstimate struct{ At time.Time }
 
 // Expect implements sumachead.Prospect.
-func (p Told) Expect(time.Time) (at time.Time, sure bool) { return p.At, false }
+func (p ReportedEstimate) Expect(time.Time) (at time.Time, sure bool) { return p.At, false }
 
 // TypicalEstimate is the estimate for something under way that usually takes a known time: it is
 // sure until that has passed, and then the same time as has elapsed is expected again.
-type Usual struct {
+type TypicalEstimate struct {
 	Since time.Time
 	// By is when it should be available.
 	By time.Time
 }
 
 // Expect implements sumachead.Prospect.
-func (p Usual) Expect(now time.Time) (at time.Time, sure bool) {
+func (p TypicalEstimate) Expect(now time.Time) (at time.Time, sure bool) {
 	if now.Before(p.By) {
 		return p.By, true
 	}
-	return AsLong{p.Since}.Expect(now)
+	return ElapsedEstimate{p.Since}.Expect(now)
 }
--- a/internal/place/candidates.go
+++ b/internal/place/candidates.go
@@ -49,7 +49,7 @@
 
 // indexFor returns the index of a list and rebuilds it if the list has changed. The caller holds
 // mu.
-func (c *Chooser) indexFor(records []*wire.ServerRecord) *serverIndex {
+func (c *Scheduler) indexFor(records []*wire.ServerRecord) *serverIndex {
 	if c.index.covers(records) {
 		return &c.index
 	}
@@ -67,7 +67,7 @@
 // Candidates returns the few servers whose load trackers should be queried for a request: the
 // preferred servers of its shared parts, and some sampled from the own data hall. Only the
 // search for preferred servers visits every server.
-func (c *Chooser) Candidates(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Work, now time.Time) []*wire.ServerRecord {
+func (c *Scheduler) Candidates(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Request, now time.Time) []*wire.ServerRecord {
 	if len(records) <= preferredCandidates+sampledCandidates || w.Engine == nil {
 		return records
 	}
@@ -109,7 +109,7 @@
 }
 
 // bestRanked returns the servers with the lowest estimated cost. The caller holds mu.
-func (c *Chooser) bestRanked(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Work, now time.Time) []*wire.ServerRecord {
+func (c *Scheduler) bestRanked(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Request, now time.Time) []*wire.ServerRecord {
 	type ranked struct {
 		record *wire.ServerRecord
 		rank   rank
@@ -139,7 +139,7 @@
 
 // eligible reports whether a server is a candidate: it is ready, not excluded, and not ejected
 // after a failure. The caller holds mu.
-func (c *Chooser) eligible(r *serverIndex, i int, tried []sumachead.ServerID, now time.Time) bool {
+func (c *Scheduler) eligible(r *serverIndex, i int, tried []sumachead.ServerID, now time.Time) bool {
 	id := r.servers[i].id
 	if r.records[i].GetState() != wire.ServerState_SERVER_STATE_READY || c.excluded(id, tried) {
 		return false
--- a/internal/place/chooser.go
+++ b/internal/place/chooser.go
@@ -27,19 +27,19 @@
 )
 
 // Request holds the properties of a request that matter for scheduling.
-type Work struct {
+type Request struct {
 	Route string
 	// PromptTokens is the size of the prompt, and MaxOutputTokens the maximum size of the
 	// response.
-	Prompt sumachead.Tokens
-	Answer sumachead.Tokens
-	Parts  []sumachead.PromptPart
+	PromptTokens    sumachead.Tokens
+	MaxOutputTokens sumachead.Tokens
+	Parts           []sumachead.PromptPart
 	// FirstEventDeadline is until when the first event is in time; zero for no objective.
-	FirstBy time.Time
+	FirstEventDeadline time.Time
 	// Deadline is when the caller stops waiting; zero for never.
 	Deadline time.Time
 	// MaxEventGap is the objective for gaps between events; 0 for none.
-	Pause time.Duration
+	MaxEventGap time.Duration
 	// Engine is nil for a plain service.
 	Engine *wire.EngineLimits
 
@@ -51,17 +51,17 @@
 }
 
 // hasSharedParts reports whether the prompt has parts that other prompts may share.
-func (w *Work) hasSharedParts() bool { return len(w.Parts) >= minPartsToShare }
+func (w *Request) hasSharedParts() bool { return len(w.Parts) >= minPartsToShare }
 
 // Scheduler chooses backend servers of a declared fleet by the lowest expected loss to callers.
 // It is safe for concurrent use.
-type Chooser struct {
+type Scheduler struct {
 	// SendUpdate sends an update about a request to the load tracker of its server; it must not
 	// block. Nil if there are no load trackers.
-	Tell func(r *wire.ServerRecord, n *wire.GaugeNote)
+	SendUpdate func(r *wire.ServerRecord, n *wire.GaugeNote)
 	// Backoff returns for how much longer this process must not send to a server; nil if no
 	// server ever asks for backoff.
-	Rest func(sumachead.ServerID) time.Duration
+	Backoff func(sumachead.ServerID) time.Duration
 	// Limited reports whether a server limits the number of its requests, regardless of their
 	// size; nil if none does.
 	Limited func(sumachead.ServerID) bool
@@ -85,8 +85,8 @@
 }
 
 // NewScheduler returns a scheduler for a router in a data hall.
-func NewChooser(h sumachead.HallID) *Chooser {
-	return &Chooser{
+func NewScheduler(h sumachead.HallID) *Scheduler {
+	return &Scheduler{
 		hall: h, tieBreakSeed: rand.Uint64(), servers: make(map[sumachead.ServerID]*server), prefill: newPrefillModel(), streamDurations: make(map[string]time.Duration),
 	}
 }
@@ -119,7 +119,7 @@
 
 // Place chooses a server that is not excluded and counts the request there; it returns nil if
 // none is left.
-func (c *Chooser) Place(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Work, now time.Time) *Placement {
+func (c *Scheduler) Place(records []*wire.ServerRecord, tried []sumachead.ServerID, w *Request, now time.Time) *Placement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var best *wire.ServerRecord
@@ -142,7 +142,7 @@
 		return nil
 	}
 	l := &Placement{
-		Record: best, Home: best.GetId() == o.preferred,
+		Record: best, Preferred: best.GetId() == o.preferred,
 		scheduler: c, server: c.server(sumachead.ServerID(best.GetId())), request: w, estimate: expected,
 	}
 	if l.fetched > 0 {
@@ -153,21 +153,21 @@
 }
 
 // excluded reports whether a server was already tried or is in backoff.
-func (c *Chooser) excluded(id sumachead.ServerID, tried []sumachead.ServerID) bool {
+func (c *Scheduler) excluded(id sumachead.ServerID, tried []sumachead.ServerID) bool {
 	return slices.Contains(tried, id) || c.backoff(id) > 0
 }
 
 // backoff returns for how much longer a server is in backoff.
-func (c *Chooser) backoff(id sumachead.ServerID) time.Duration {
-	if c.Rest == nil {
+func (c *Scheduler) backoff(id sumachead.ServerID) time.Duration {
+	if c.Backoff == nil {
 		return 0
 	}
-	return c.Rest(id)
+	return c.Backoff(id)
 }
 
 // BackoffEnd returns when the first backoff of the servers that were not tried ends, if all of
 // them are in backoff; the zero time otherwise.
-func (c *Chooser) RestEnds(records []*wire.ServerRecord, tried []sumachead.ServerID, now time.Time) time.Time {
+func (c *Scheduler) BackoffEnd(records []*wire.ServerRecord, tried []sumachead.ServerID, now time.Time) time.Time {
 	var ends time.Time
 	for _, r := range records {
 		id := sumachead.ServerID(r.GetId())
@@ -187,7 +187,7 @@
 
 // AvailableAt returns when a server should be able to take a request: now, unless all of them
 // are ejected or in backoff; the zero time if there are none.
-func (c *Chooser) FreeAt(records []*wire.ServerRecord, now time.Time) time.Time {
+func (c *Scheduler) AvailableAt(records []*wire.ServerRecord, now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var earliest time.Time
@@ -202,7 +202,7 @@
 }
 
 // rank computes the rank of one server. The caller holds mu.
-func (c *Chooser) rank(r *wire.ServerRecord, s *server, w *Work, o *partLocations, e estimate, now time.Time) rank {
+func (c *Scheduler) rank(r *wire.ServerRecord, s *server, w *Request, o *partLocations, e estimate, now time.Time) rank {
 	k := rank{tieBreak: affinityHash(affinityKey(o.parts), s)}
 	if now.Before(s.ejectedUntil) || now.Before(s.backoffUntil) || c.reservedForLarger(s, w) {
 		k.healthTier = 1
@@ -220,22 +220,22 @@
 }
 
 // updateMeanPrompt adds a prompt to the moving average. The caller holds mu.
-func (c *Chooser) updateMeanPrompt(w *Work) {
+func (c *Scheduler) updateMeanPrompt(w *Request) {
 	if c.meanPrompt == 0 {
-		c.meanPrompt = float64(w.Prompt)
+		c.meanPrompt = float64(w.PromptTokens)
 	}
-	c.meanPrompt += meanPromptWeight * (float64(w.Prompt) - c.meanPrompt)
+	c.meanPrompt += meanPromptWeight * (float64(w.PromptTokens) - c.meanPrompt)
 }
 
 // reservedForLarger reports whether a request should avoid a server because that limits the
 // number of its requests: a larger request there takes more load off the other servers. The
 // caller holds mu.
-func (c *Chooser) reservedForLarger(s *server, w *Work) bool {
-	return w.Engine != nil && c.Limited != nil && float64(w.Prompt) < c.meanPrompt && c.Limited(s.id)
+func (c *Scheduler) reservedForLarger(s *server, w *Request) bool {
+	return w.Engine != nil && c.Limited != nil && float64(w.PromptTokens) < c.meanPrompt && c.Limited(s.id)
 }
 
 // estimate predicts how a request runs at a server. The caller holds mu.
-func (c *Chooser) estimate(s *server, w *Work, o *partLocations, now time.Time) estimate {
+func (c *Scheduler) estimate(s *server, w *Request, o *partLocations, now time.Time) estimate {
 	has := s.cachedTokens(o.shared)
 	own := max(s.cachedTokens(o.parts)-has, 0) // a continued prompt has its own part cached there too
 	e := estimate{backlog: s.backlog(now)}
@@ -244,16 +244,16 @@
 		e.fetched = o.cached - has
 		fetchTime = c.prefill.FetchTime(e.fetched)
 	}
-	e.uncached = max(w.Prompt-has-e.fetched-own, 0)
+	e.uncached = max(w.PromptTokens-has-e.fetched-own, 0)
 	e.recomputed = o.recomputedTokens(s, has+e.fetched)
-	e.prefill = time.Duration(s.slowdown * float64(c.prefill.PrefillTime(e.uncached, w.Prompt)))
+	e.prefill = time.Duration(s.slowdown * float64(c.prefill.PrefillTime(e.uncached, w.PromptTokens)))
 	e.wait = c.prefill.Base() + e.backlog + e.prefill + fetchTime + c.slotWait(s, w, now)
 	return e
 }
 
 // slotWait returns how long a request waits for a free slot of a server: the time in which the
 // requests above slotWaitThreshold end. The caller holds mu.
-func (c *Chooser) slotWait(s *server, w *Work, now time.Time) time.Duration {
+func (c *Scheduler) slotWait(s *server, w *Request, now time.Time) time.Duration {
 	slots := float64(w.Engine.GetSlots())
 	if slots == 0 {
 		return 0
@@ -263,18 +263,18 @@
 }
 
 // begin counts a request at its server. The caller holds mu.
-func (c *Chooser) begin(l *Placement, o *partLocations, now time.Time) {
+func (c *Scheduler) begin(l *Placement, o *partLocations, now time.Time) {
 	s := l.server
 	l.startedAt, l.value, l.Running = now, valueOf(l.request), s.running(now)
 	l.uncontended = l.backlog == 0
-	l.Told = -1
+	l.LoadAge = -1
 	if !s.remote.at.IsZero() {
-		l.Told = now.Sub(s.remote.at)
+		l.LoadAge = now.Sub(s.remote.at)
 	}
 	s.inFlight = append(s.inFlight, l)
 	s.prefillDoneAt = moment.Later(s.prefillDoneAt, now).Add(l.prefill)
 	l.prefillDoneAt = s.prefillDoneAt
-	l.stallRisk = gapMissProbability(l.backlog+l.prefill, l.request.Pause) - gapMissProbability(l.backlog, l.request.Pause)
+	l.stallRisk = gapMissProbability(l.backlog+l.prefill, l.request.MaxEventGap) - gapMissProbability(l.backlog, l.request.MaxEventGap)
 	s.stalls.add(l.stallRisk, now, stallDecayTime)
 	s.usedAt = now
 	for _, p := range o.parts {
@@ -284,7 +284,7 @@
 }
 
 // server returns the state of a server and creates it if it is missing. The caller holds mu.
-func (c *Chooser) server(id sumachead.ServerID) *server {
+func (c *Scheduler) server(id sumachead.ServerID) *server {
 	s := c.servers[id]
 	if s == nil {
 		s = newServer(id)
@@ -294,7 +294,7 @@
 }
 
 // streamDuration returns how long streams of a route last. The caller holds mu.
-func (c *Chooser) streamDuration(route string) time.Duration {
+func (c *Scheduler) streamDuration(route string) time.Duration {
 	if d, ok := c.streamDurations[route]; ok {
 		return d
 	}
@@ -302,13 +302,13 @@
 }
 
 // updateStreamDuration adds a stream that has ended to the moving average. The caller holds mu.
-func (c *Chooser) updateStreamDuration(route string, d time.Duration) {
+func (c *Scheduler) updateStreamDuration(route string, d time.Duration) {
 	old := c.streamDuration(route)
 	c.streamDurations[route] = old + time.Duration(streamDurationWeight*float64(d-old))
 }
 
 // Prune drops the state of servers that are no longer used.
-func (c *Chooser) Tidy(now time.Time) {
+func (c *Scheduler) Prune(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, s := range c.servers {
@@ -320,7 +320,7 @@
 
 // ApplyReport applies the response of a server's load tracker to a query about the parts of a
 // prompt.
-func (c *Chooser) Told(id sumachead.ServerID, w *Work, a *wire.GaugeAnswer, now time.Time) {
+func (c *Scheduler) ApplyReport(id sumachead.ServerID, w *Request, a *wire.GaugeAnswer, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(id)
@@ -339,7 +339,7 @@
 
 // MoreCandidates returns further servers to query: those that the load tracker of the preferred
 // server named, if no candidate has all shared parts cached.
-func (c *Chooser) Further(records, candidates []*wire.ServerRecord, tried []sumachead.ServerID, w *Work, now time.Time) []*wire.ServerRecord {
+func (c *Scheduler) MoreCandidates(records, candidates []*wire.ServerRecord, tried []sumachead.ServerID, w *Request, now time.Time) []*wire.ServerRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(w.otherHolders) == 0 {
--- a/internal/place/chooser_test.go
+++ b/internal/place/chooser_test.go
@@ -25,25 +25,25 @@
 var limits = &wire.EngineLimits{Slots: 64, FetchTokensPerSecond: 100_000}
 
 // review returns a request with two shared parts and one of its own.
-func review(now time.Time, own sumachead.Tokens) *Work {
-	return &Work{
-		Route: "review", Prompt: 13_000 + own, Answer: 300, FirstBy: now.Add(800 * time.Millisecond), Pause: 500 * time.Millisecond,
+func review(now time.Time, own sumachead.Tokens) *Request {
+	return &Request{
+		Route: "review", PromptTokens: 13_000 + own, MaxOutputTokens: 300, FirstEventDeadline: now.Add(800 * time.Millisecond), MaxEventGap: 500 * time.Millisecond,
 		Parts: []sumachead.PromptPart{{ID: "doc", Tokens: 10_000}, {ID: "more", Tokens: 3000}, {ID: "own", Tokens: own}}, Engine: limits,
 	}
 }
 
 // chat returns a request with a short prompt and a long response.
-func chat(now time.Time) *Work {
-	return &Work{
-		Route: "chat", Prompt: 800, Answer: 900, FirstBy: now.Add(500 * time.Millisecond), Pause: 500 * time.Millisecond,
+func chat(now time.Time) *Request {
+	return &Request{
+		Route: "chat", PromptTokens: 800, MaxOutputTokens: 900, FirstEventDeadline: now.Add(500 * time.Millisecond), MaxEventGap: 500 * time.Millisecond,
 		Engine: limits,
 	}
 }
 
 // trained returns a scheduler whose prefill model has learned 60 tokens per millisecond and a
 // base of 25 ms.
-func trained(hall sumachead.HallID) *Chooser {
-	c := NewChooser(hall)
+func trained(hall sumachead.HallID) *Scheduler {
+	c := NewScheduler(hall)
 	for i := range 300 {
 		n := sumachead.Tokens(200 + 100*(i%200))
 		c.prefill.Observe(n, n, 0, 25*time.Millisecond+time.Duration(n)*time.Millisecond/60)
@@ -56,7 +56,7 @@
 	servers := engines("a", "b", "c")
 	one, other := trained("hall-1"), trained("hall-3")
 	l := one.Place(servers, nil, review(now, 2000), now)
-	if m := other.Place(servers, nil, review(now, 2000), now); m.Record.GetId() != l.Record.GetId() || !l.Home {
+	if m := other.Place(servers, nil, review(now, 2000), now); m.Record.GetId() != l.Record.GetId() || !l.Preferred {
 		t.Fatalf("one router chose %s, the other %s", l.Record.GetId(), m.Record.GetId())
 	}
 	if m := one.Place(servers, []sumachead.ServerID{"a", "b", "c"}, review(now, 2000), now); m != nil {
@@ -107,7 +107,7 @@
 					tried = append(tried, sumachead.ServerID(r.GetId()))
 				}
 				for _, id := range tt.kept[r.GetId()] {
-					key := partsOf(&Work{Parts: []sumachead.PromptPart{{ID: id}}})[0].key
+					key := partsOf(&Request{Parts: []sumachead.PromptPart{{ID: id}}})[0].key
 					c.server(sumachead.ServerID(r.GetId())).addPart(key, now)
 				}
 			}
@@ -141,7 +141,7 @@
 		count := make(map[string]int)
 		for range slots * 3 / 2 {
 			l := c.Place(servers, nil, chat(now), now)
-			l.First(now)
+			l.RecordFirstEvent(now)
 			count[l.Record.GetId()]++
 		}
 		for id, n := range count {
@@ -152,7 +152,7 @@
 	})
 	t.Run("other routers", func(t *testing.T) {
 		c := trained("hall-1")
-		c.Told("a", chat(now), &wire.GaugeAnswer{Load: &wire.ServerLoad{Running: int64(slots * 5 / 4)}, FactorThousandths: wireScale}, now)
+		c.ApplyReport("a", chat(now), &wire.GaugeAnswer{Load: &wire.ServerLoad{Running: int64(slots * 5 / 4)}, FactorThousandths: wireScale}, now)
 		if l := c.Place(servers, nil, chat(now), now); l.Record.GetId() != "b" {
 			t.Error("sent to a server without a free slot")
 		}
@@ -168,7 +168,7 @@
 		r.Hall = "hall-1"
 	}
 	c := trained("hall-1")
-	w := &Work{Route: "plain", Prompt: 9000, Answer: 300, Engine: limits}
+	w := &Request{Route: "plain", PromptTokens: 9000, MaxOutputTokens: 300, Engine: limits}
 	seen := make(map[string]bool)
 	for range servers {
 		seen[c.Place(servers, nil, w, now).Record.GetId()] = true
@@ -185,9 +185,9 @@
 	servers := engines("a", "b", "c")
 	c := trained("hall-1")
 	for range 10 {
-		c.Place(servers, []sumachead.ServerID{"c"}, chat(now), now).First(now)
+		c.Place(servers, []sumachead.ServerID{"c"}, chat(now), now).RecordFirstEvent(now)
 	}
-	long := &Work{Route: "long", Prompt: 27_000, Answer: 300, FirstBy: now.Add(time.Second), Pause: 500 * time.Millisecond, Engine: limits}
+	long := &Request{Route: "long", PromptTokens: 27_000, MaxOutputTokens: 300, FirstEventDeadline: now.Add(time.Second), MaxEventGap: 500 * time.Millisecond, Engine: limits}
 	if l := c.Place(servers, nil, long, now); l.Record.GetId() != "c" {
 		t.Fatalf("a long prompt was sent to %s, which has streams", l.Record.GetId())
 	}
@@ -203,11 +203,11 @@
 func TestOthersLoadsCount(t *testing.T) {
 	now := time.Now()
 	servers := engines("a", "b")
-	long := &Work{Route: "long", Prompt: 27_000, Answer: 300, FirstBy: now.Add(time.Second), Pause: 500 * time.Millisecond, Engine: limits}
+	long := &Request{Route: "long", PromptTokens: 27_000, MaxOutputTokens: 300, FirstEventDeadline: now.Add(time.Second), MaxEventGap: 500 * time.Millisecond, Engine: limits}
 	tests := []struct {
 		name string
 		load *wire.ServerLoad
-		work *Work
+		work *Request
 	}{
 		{"streams at risk", &wire.ServerLoad{AtRisk: 50_000, PauseMillis: 500}, long},
 		{"prefill backlog", &wire.ServerLoad{ReadMillis: 900}, chat(now)},
@@ -218,7 +218,7 @@
 			for _, r := range servers {
 				c := trained("hall-1")
 				id := sumachead.ServerID(r.GetId())
-				c.Told(id, tt.work, &wire.GaugeAnswer{Load: tt.load, FactorThousandths: wireScale}, now)
+				c.ApplyReport(id, tt.work, &wire.GaugeAnswer{Load: tt.load, FactorThousandths: wireScale}, now)
 				if l := c.Place(servers, nil, tt.work, now); l.Record.GetId() == r.GetId() {
 					t.Errorf("placed at %s", r.GetId())
 				}
@@ -281,7 +281,7 @@
 			}
 			servers := engines(ids...)
 			c := trained("hall-1")
-			place := func(w *Work) *Placement {
+			place := func(w *Request) *Placement {
 				return c.Place(c.Candidates(servers, nil, w, now), nil, w, now)
 			}
 			for i := range 10 * n {
@@ -289,7 +289,7 @@
 				if i%5 == 0 {
 					w = review(now, 6000)
 				}
-				place(w).First(now)
+				place(w).RecordFirstEvent(now)
 			}
 			w := review(now, 6000)
 			b.ReportAllocs()
@@ -317,7 +317,7 @@
 			servers := engines(names...)
 			c := trained("hall-1")
 			rests := make(map[sumachead.ServerID]time.Duration)
-			c.Rest = func(id sumachead.ServerID) time.Duration { return rests[id] }
+			c.Backoff = func(id sumachead.ServerID) time.Duration { return rests[id] }
 			const shortest = 2 * time.Second
 			for i, n := range names[1:] {
 				rests[sumachead.ServerID(n)] = shortest + time.Duration(i)*time.Second
@@ -331,19 +331,19 @@
 					t.Fatalf("placed at %v", l)
 				}
 			}
-			if at := c.RestEnds(servers, nil, now); !at.IsZero() {
+			if at := c.BackoffEnd(servers, nil, now); !at.IsZero() {
 				t.Errorf("backoff ends after %v although one server is not in backoff", at.Sub(now))
 			}
 			if l := choose("s0"); l != nil {
 				t.Errorf("placed at %s, which is in backoff", l.Record.GetId())
 			}
-			if at := c.RestEnds(servers, []sumachead.ServerID{"s0"}, now); at.Sub(now) != shortest {
+			if at := c.BackoffEnd(servers, []sumachead.ServerID{"s0"}, now); at.Sub(now) != shortest {
 				t.Errorf("the first backoff ends after %v", at.Sub(now))
 			}
-			if at := c.FreeAt(servers, now); !at.Equal(now) {
+			if at := c.AvailableAt(servers, now); !at.Equal(now) {
 				t.Errorf("the server that is not in backoff is available after %v", at.Sub(now))
 			}
-			if at := c.FreeAt(servers[1:], now); at.Sub(now) != shortest {
+			if at := c.AvailableAt(servers[1:], now); at.Sub(now) != shortest {
 				t.Errorf("the first server in backoff is available after %v", at.Sub(now))
 			}
 		})
--- a/internal/place/fleet_test.go
+++ b/internal/place/fleet_test.go
@@ -69,7 +69,7 @@
 
 // request returns a random request: long plans and reviews whose parts many share, and short
 // replies.
-func (f *simulatedFleet) request() *Work {
+func (f *simulatedFleet) request() *Request {
 	kinds := []struct {
 		route          string
 		things         int
@@ -81,8 +81,8 @@
 		{"reply", 1000, 350, 1460, 600 * time.Millisecond},
 	}
 	k := kinds[f.rand.IntN(len(kinds))]
-	return &Work{
-		Route: k.route, Prompt: k.prompt, Answer: 120, FirstBy: f.now.Add(k.objective), Pause: 800 * time.Millisecond,
+	return &Request{
+		Route: k.route, PromptTokens: k.prompt, MaxOutputTokens: 120, FirstEventDeadline: f.now.Add(k.objective), MaxEventGap: 800 * time.Millisecond,
 		Deadline: f.now.Add(10 * time.Second), Engine: &wire.EngineLimits{Slots: 64},
 		Parts: []sumachead.PromptPart{
 			{ID: fmt.Sprint(k.route, f.rand.IntN(k.things)), Tokens: k.shared}, {ID: "own", Tokens: k.prompt - k.shared},
@@ -91,9 +91,9 @@
 }
 
 // prefill returns when an engine that receives a request now has prefilled it.
-func (f *simulatedFleet) prefill(id string, w *Work) time.Time {
+func (f *simulatedFleet) prefill(id string, w *Request) time.Time {
 	e := f.engines[id]
-	uncached := w.Prompt
+	uncached := w.PromptTokens
 	if shared := w.Parts[0]; e.cached[shared.ID] {
 		uncached -= shared.Tokens
 	} else {
@@ -126,10 +126,10 @@
 		w := f.request()
 		l := f.routers[f.rand.IntN(len(f.routers))].schedule(f.servers, nil, w)
 		first := f.prefill(l.Record.GetId(), w)
-		if first.After(w.FirstBy) {
+		if first.After(w.FirstEventDeadline) {
 			missed++
 		}
-		heap.Push(&f.events, simulatedEvent{first, func() { l.First(f.now) }})
+		heap.Push(&f.events, simulatedEvent{first, func() { l.RecordFirstEvent(f.now) }})
 		heap.Push(&f.events, simulatedEvent{first.Add(time.Second), func() { l.Done(true, f.now) }})
 		next := time.Duration(f.rand.ExpFloat64() / rate * float64(time.Second))
 		heap.Push(&f.events, simulatedEvent{f.now.Add(next), arrive})
--- a/internal/place/gauge.go
+++ b/internal/place/gauge.go
@@ -35,7 +35,7 @@
 // update is visible to the next query regardless of the number of routers, whereas an exchange
 // among routers takes longer the more there are: with some dozens, longer than a prefill. It is
 // safe for concurrent use; the zero value is ready.
-type Gauge struct {
+type LoadTracker struct {
 	mu      sync.Mutex // guards the fields below and the fields of servers
 	servers map[sumachead.ServerID]*trackedServer
 }
@@ -64,7 +64,7 @@
 }
 
 // Query returns the state of a server to a router.
-func (g *Gauge) Answer(q *wire.GaugeQuestion, now time.Time) *wire.GaugeAnswer {
+func (g *LoadTracker) Query(q *wire.GaugeQuestion, now time.Time) *wire.GaugeAnswer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.server(sumachead.ServerID(q.GetServer()), now)
@@ -76,7 +76,7 @@
 }
 
 // Update applies a router's updates in their order.
-func (g *Gauge) Note(n *wire.GaugeNotes, now time.Time) {
+func (g *LoadTracker) Update(n *wire.GaugeNotes, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.server(sumachead.ServerID(n.GetServer()), now)
@@ -87,7 +87,7 @@
 
 // server returns the state of an incarnation of the engine and creates it if it is missing. The
 // caller holds mu.
-func (g *Gauge) server(id sumachead.ServerID, now time.Time) *trackedServer {
+func (g *LoadTracker) server(id sumachead.ServerID, now time.Time) *trackedServer {
 	if g.servers == nil {
 		g.servers = make(map[sumachead.ServerID]*trackedServer)
 	}
@@ -103,7 +103,7 @@
 
 // evictOldest drops the least recently used incarnation if there are too many. The caller holds
 // mu.
-func (g *Gauge) evictOldest() {
+func (g *LoadTracker) evictOldest() {
 	if len(g.servers) <= maxIncarnations {
 		return
 	}
@@ -197,10 +197,10 @@
 // begin adds a request.
 func (s *trackedServer) begin(router string, r *wire.GaugeRun, now time.Time) {
 	l := &Placement{
-		server: s.server, router: router, number: r.GetNumber(), value: requestValue(r.GetWorth()), startedAt: now,
-		request: &Work{
-			Pause:    time.Duration(r.GetPauseMillis()) * time.Millisecond,
-			Deadline: now.Add(time.Duration(r.GetDeadlineMicros()) * time.Microsecond),
+		server: s.server, router: router, number: r.GetNumber(), value: value(r.GetWorth()), startedAt: now,
+		request: &Request{
+			MaxEventGap: time.Duration(r.GetPauseMillis()) * time.Millisecond,
+			Deadline:    now.Add(time.Duration(r.GetDeadlineMicros()) * time.Microsecond),
 		},
 		estimate: estimate{prefill: time.Duration(r.GetReadMicros()) * time.Microsecond, backlog: s.backlog(now)},
 	}
--- a/internal/place/gauge_test.go
+++ b/internal/place/gauge_test.go
@@ -14,20 +14,20 @@
 
 // testRouter connects a router's scheduler with the load trackers of engines, without a network.
 type testRouter struct {
-	*Chooser
+	*Scheduler
 	incarnation string
-	trackers    map[string]*Gauge
+	trackers    map[string]*LoadTracker
 	now         func() time.Time
 	// backoffReports counts the query results that contained a backoff.
 	backoffReports int
 }
 
 // newTestRouter returns a router that queries and updates load trackers.
-func newTestRouter(incarnation string, hall sumachead.HallID, trackers map[string]*Gauge, now func() time.Time) *testRouter {
-	b := &testRouter{Chooser: trained(hall), incarnation: incarnation, trackers: trackers, now: now}
-	b.Tell = func(r *wire.ServerRecord, n *wire.GaugeNote) {
+func newTestRouter(incarnation string, hall sumachead.HallID, trackers map[string]*LoadTracker, now func() time.Time) *testRouter {
+	b := &testRouter{Scheduler: trained(hall), incarnation: incarnation, trackers: trackers, now: now}
+	b.SendUpdate = func(r *wire.ServerRecord, n *wire.GaugeNote) {
 		if g := trackers[r.GetId()]; g != nil {
-			g.Note(&wire.GaugeNotes{Router: incarnation, Server: r.GetId(), Notes: []*wire.GaugeNote{n}}, now())
+			g.Update(&wire.GaugeNotes{Router: incarnation, Server: r.GetId(), Notes: []*wire.GaugeNote{n}}, now())
 		}
 	}
 	return b
@@ -35,34 +35,34 @@
 
 // schedule places a request as a router does: it queries a few candidates that were not tried, and
 // then schedules.
-func (b *testRouter) schedule(servers []*wire.ServerRecord, tried []sumachead.ServerID, w *Work) *Placement {
+func (b *testRouter) schedule(servers []*wire.ServerRecord, tried []sumachead.ServerID, w *Request) *Placement {
 	candidates := b.Candidates(servers, tried, w, b.now())
 	b.query(candidates, w)
-	more := b.Further(servers, candidates, tried, w, b.now())
+	more := b.MoreCandidates(servers, candidates, tried, w, b.now())
 	b.query(more, w)
 	return b.Place(append(candidates, more...), tried, w, b.now())
 }
 
 // query applies the reports of some servers' load trackers.
-func (b *testRouter) query(servers []*wire.ServerRecord, w *Work) {
+func (b *testRouter) query(servers []*wire.ServerRecord, w *Request) {
 	for _, r := range servers {
 		if g := b.trackers[r.GetId()]; g != nil {
-			a := g.Answer(&wire.GaugeQuestion{Router: b.incarnation, Server: r.GetId(), Parts: w.Keys()}, b.now())
+			a := g.Query(&wire.GaugeQuestion{Router: b.incarnation, Server: r.GetId(), Parts: w.PartKeys()}, b.now())
 			if a.GetRestMillis() > 0 {
 				b.backoffReports++
 			}
-			b.Told(sumachead.ServerID(r.GetId()), w, a, b.now())
+			b.ApplyReport(sumachead.ServerID(r.GetId()), w, a, b.now())
 		}
 	}
 }
 
 // manyEngines returns engines of one data hall with their load trackers.
-func manyEngines(n int) ([]*wire.ServerRecord, map[string]*Gauge) {
+func manyEngines(n int) ([]*wire.ServerRecord, map[string]*LoadTracker) {
 	var ids []string
-	trackers := make(map[string]*Gauge)
+	trackers := make(map[string]*LoadTracker)
 	for i := range n {
 		ids = append(ids, fmt.Sprint("e", i))
-		trackers[ids[i]] = &Gauge{}
+		trackers[ids[i]] = &LoadTracker{}
 	}
 	servers := engines(ids...)
 	for _, r := range servers {
@@ -86,14 +86,14 @@
 			// Both preferred servers are busy for the whole time that the prompt may take.
 			busy := &wire.GaugeRun{Number: 1, ReadMicros: 5e6, DeadlineMicros: 10e6}
 			for _, id := range []string{preferred.GetId(), second(one, servers, now)} {
-				trackers[id].Note(&wire.GaugeNotes{Router: "third", Server: id, Notes: []*wire.GaugeNote{{Note: &wire.GaugeNote_Run{Run: busy}}}}, now)
+				trackers[id].Update(&wire.GaugeNotes{Router: "third", Server: id, Notes: []*wire.GaugeNote{{Note: &wire.GaugeNote_Run{Run: busy}}}}, now)
 			}
 			first := one.schedule(servers, nil, w)
 			if first.Record == preferred {
 				t.Fatal("sent to a preferred server that is busy")
 			}
 			now = now.Add(600 * time.Millisecond) // the prefill has ended
-			first.First(now)
+			first.RecordFirstEvent(now)
 			next := other.schedule(servers, nil, review(now, 500))
 			if diff := cmp.Diff(first.Record.GetId(), next.Record.GetId()); diff != "" || next.recomputed != 0 {
 				t.Errorf("the next prompt went to another server and recomputes %d tokens (-want +got):\n%s", next.recomputed, diff)
@@ -117,13 +117,13 @@
 	now := time.Now()
 	clock := func() time.Time { return now }
 	servers := engines("a")
-	g := map[string]*Gauge{"a": {}}
+	g := map[string]*LoadTracker{"a": {}}
 	one, other := newTestRouter("one", "hall-1", g, clock), newTestRouter("other", "hall-1", g, clock)
 	l := one.schedule(servers, nil, chat(now))
 	m := one.schedule(servers, nil, chat(now))
-	m.Late()
+	m.RecordLate()
 	ask := func(router string) *wire.GaugeAnswer {
-		return g["a"].Answer(&wire.GaugeQuestion{Router: router, Server: "a"}, now)
+		return g["a"].Query(&wire.GaugeQuestion{Router: router, Server: "a"}, now)
 	}
 	load := ask("other").GetLoad()
 	want := &wire.ServerLoad{Running: 2, AtRisk: 9800, PauseMillis: 500, ReadMillis: load.GetReadMillis()}
@@ -137,7 +137,7 @@
 	if got := other.server("a").backlog(now); got < time.Duration(load.GetReadMillis())*time.Millisecond {
 		t.Errorf("the other router expects a backlog of %v", got)
 	}
-	l.First(now)
+	l.RecordFirstEvent(now)
 	l.Done(true, now)
 	m.Cancel(now)
 	if got := ask("third").GetLoad(); got.GetRunning() != 1 {
@@ -149,10 +149,10 @@
 // not.
 func TestLoadTrackerKnowsParts(t *testing.T) {
 	now := time.Now()
-	g := &Gauge{}
+	g := &LoadTracker{}
 	w := review(now, 2000)
-	keys := w.Keys()
-	g.Note(&wire.GaugeNotes{Router: "one", Server: "a", Notes: []*wire.GaugeNote{{
+	keys := w.PartKeys()
+	g.Update(&wire.GaugeNotes{Router: "one", Server: "a", Notes: []*wire.GaugeNote{{
 		Note: &wire.GaugeNote_Run{Run: &wire.GaugeRun{Number: 1, Parts: keys[:2], DeadlineMicros: 1e6}},
 	}}}, now)
 	tests := []struct {
@@ -165,16 +165,16 @@
 		{"no parts in the query", nil, 0},
 	}
 	for _, tt := range tests {
-		if diff := cmp.Diff(tt.want, g.Answer(&wire.GaugeQuestion{Router: "two", Server: "a", Parts: tt.keys}, now).GetParts()); diff != "" {
+		if diff := cmp.Diff(tt.want, g.Query(&wire.GaugeQuestion{Router: "two", Server: "a", Parts: tt.keys}, now).GetParts()); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", tt.name, diff)
 		}
 	}
-	if got := g.Answer(&wire.GaugeQuestion{Router: "two", Server: "next incarnation", Parts: keys}, now).GetParts(); got != 0 {
+	if got := g.Query(&wire.GaugeQuestion{Router: "two", Server: "next incarnation", Parts: keys}, now).GetParts(); got != 0 {
 		t.Errorf("an engine's next incarnation has %d parts", got)
 	}
 	c := trained("hall-1")
 	c.server("a").addPart(partKey(keys[1]), now)
-	c.Told("a", w, &wire.GaugeAnswer{Parts: 1, FactorThousandths: wireScale}, now)
+	c.ApplyReport("a", w, &wire.GaugeAnswer{Parts: 1, FactorThousandths: wireScale}, now)
 	if got := c.server("a").cachedTokens(partsOf(w)); got != w.Parts[0].Tokens {
 		t.Errorf("%d tokens count as cached although the load tracker knows only the first part", got)
 	}
@@ -184,20 +184,20 @@
 // slowdown of an engine is known to routers that never used it.
 func TestLoadTrackerExpiresRequestsAndLearnsSpeed(t *testing.T) {
 	now := time.Now()
-	g := &Gauge{}
+	g := &LoadTracker{}
 	const reads = 100 * time.Millisecond
 	for i := range uint64(30) {
 		run := &wire.GaugeRun{Number: i, ReadMicros: reads.Microseconds(), DeadlineMicros: 1e6}
-		g.Note(&wire.GaugeNotes{Router: "one", Server: "a", Notes: []*wire.GaugeNote{
+		g.Update(&wire.GaugeNotes{Router: "one", Server: "a", Notes: []*wire.GaugeNote{
 			{Note: &wire.GaugeNote_Run{Run: run}},
 			{Note: &wire.GaugeNote_Read{Read: &wire.GaugeRead{Number: i, TookMicros: 3 * reads.Microseconds()}}},
 		}}, now)
 	}
 	q := &wire.GaugeQuestion{Router: "two", Server: "a"}
-	if a := g.Answer(q, now); a.GetLoad().GetRunning() != 30 || a.GetFactorThousandths() < 2*wireScale {
+	if a := g.Query(q, now); a.GetLoad().GetRunning() != 30 || a.GetFactorThousandths() < 2*wireScale {
 		t.Errorf("got %v", a)
 	}
-	if a := g.Answer(q, now.Add(2*time.Second)); a.GetLoad().GetRunning() != 0 {
+	if a := g.Query(q, now.Add(2*time.Second)); a.GetLoad().GetRunning() != 0 {
 		t.Errorf("%d requests are counted after their deadlines", a.GetLoad().GetRunning())
 	}
 }
@@ -208,13 +208,13 @@
 func TestLoadTrackerKeepsRecentIncarnations(t *testing.T) {
 	now := time.Now()
 	for range 50 { // the order of map iteration varies
-		g := &Gauge{}
+		g := &LoadTracker{}
 		for i := range maxIncarnations + 1 {
 			id := fmt.Sprint("life-", i)
 			now = now.Add(time.Second)
 			run := &wire.GaugeRun{Number: 1, DeadlineMicros: time.Minute.Microseconds()}
-			g.Note(&wire.GaugeNotes{Router: "one", Server: id, Notes: []*wire.GaugeNote{{Note: &wire.GaugeNote_Run{Run: run}}}}, now)
-			if n := g.Answer(&wire.GaugeQuestion{Router: "two", Server: id}, now).GetLoad().GetRunning(); n != 1 {
+			g.Update(&wire.GaugeNotes{Router: "one", Server: id, Notes: []*wire.GaugeNote{{Note: &wire.GaugeNote_Run{Run: run}}}}, now)
+			if n := g.Query(&wire.GaugeQuestion{Router: "two", Server: id}, now).GetLoad().GetRunning(); n != 1 {
 				t.Fatalf("%s was dropped while it was being updated", id)
 			}
 		}
@@ -247,7 +247,7 @@
 	if got := believed(one, id); got != totalTokens(parts) {
 		t.Fatalf("%d tokens are expected to be cached while the request is in flight, want %d", got, totalTokens(parts))
 	}
-	l.NotRun(now)
+	l.CancelNotRun(now)
 	for name, b := range map[string]*testRouter{"its router": one, "another router": other} {
 		if got := believed(b, id); got != 0 {
 			t.Errorf("%s expects %d cached tokens", name, got)
@@ -261,7 +261,7 @@
 	l = one.schedule(servers, nil, w)
 	now = now.Add(time.Millisecond)
 	m := one.Place([]*wire.ServerRecord{l.Record}, nil, review(now, 2000), now)
-	l.NotRun(now)
+	l.CancelNotRun(now)
 	if got := believed(other, m.Record.GetId()); got != totalTokens(parts) {
 		t.Errorf("%d cached tokens are expected of a prompt that runs there, want %d", got, totalTokens(parts))
 	}
--- a/internal/place/limits_test.go
+++ b/internal/place/limits_test.go
@@ -32,12 +32,12 @@
 	for i, r := range f.routers {
 		own := make(map[sumachead.ServerID]time.Time)
 		denied[i] = own
-		r.Rest = func(id sumachead.ServerID) time.Duration { return max(own[id].Sub(f.now), 0) }
+		r.Backoff = func(id sumachead.ServerID) time.Duration { return max(own[id].Sub(f.now), 0) }
 		if larger {
 			r.Limited = func(id sumachead.ServerID) bool { return limited[id] }
 		}
 	}
-	send := func(n int, w *Work) {
+	send := func(n int, w *Request) {
 		for {
 			l := f.routers[n].schedule(f.servers, nil, w)
 			id := sumachead.ServerID(l.Record.GetId())
@@ -45,17 +45,17 @@
 				granted, retryAfter := permits.Admit(string(id), ratelimit.BoundOf(limit), 0, f.now)
 				if !granted {
 					denied[n][id] = f.now.Add(retryAfter)
-					l.NotRun(f.now)
+					l.CancelNotRun(f.now)
 					continue
 				}
 				p.limited++
-				p.tokens += w.Prompt
+				p.tokens += w.PromptTokens
 			}
 			first := f.prefill(string(id), w)
-			if first.After(w.FirstBy) {
+			if first.After(w.FirstEventDeadline) {
 				p.late++
 			}
-			heap.Push(&f.events, simulatedEvent{first, func() { l.First(f.now) }})
+			heap.Push(&f.events, simulatedEvent{first, func() { l.RecordFirstEvent(f.now) }})
 			heap.Push(&f.events, simulatedEvent{first.Add(time.Second), func() { l.Done(true, f.now) }})
 			return
 		}
--- a/internal/place/objective.go
+++ b/internal/place/objective.go
@@ -8,10 +8,10 @@
 	"sumachead/api/wire"
 )
 
-// requestValue is the value of requests that meet their objectives, in tokens. It is
+// value is the value of requests that meet their objectives, in tokens. It is
 // proportional to request sizes because callers prepay by tokens, and a longer response does
 // more of their work.
-type requestValue float64
+type value float64
 
 const (
 	// answerWeight is how many prompt tokens one response token counts as: users measure the
@@ -48,7 +48,7 @@
 )
 
 // valueOf returns the value of a request.
-func valueOf(w *Work) requestValue { return requestValue(w.Prompt + answerWeight*w.Answer) }
+func valueOf(w *Request) value { return value(w.PromptTokens + answerWeight*w.MaxOutputTokens) }
 
 // firstEventMissProbability returns the probability that a first event with a predicted time
 // misses its objective in the time left.
@@ -89,7 +89,7 @@
 // cost returns the expected loss, in tokens, of sending a request to an engine: the value of the
 // request if it is late, of the streams that it makes late, the prefill of tokens that another
 // engine has cached, and the cost of fetched tokens, of waiting and of another data hall.
-func (c *Chooser) cost(s *server, w *Work, e estimate, otherHall bool, now time.Time) float64 {
+func (c *Scheduler) cost(s *server, w *Request, e estimate, otherHall bool, now time.Time) float64 {
 	cost := c.ownLoss(s, w, e, now) + inFlightLoss(s, e, now) +
 		recomputeWeight*float64(e.recomputed) + fetchWeight*float64(e.fetched) +
 		waitWeight*float64(e.wait)/float64(time.Millisecond)
@@ -101,12 +101,12 @@
 
 // ownLoss returns a request's value times the probability that it is late: its first event
 // misses its deadline, or the prefill of a long prompt stalls its stream.
-func (c *Chooser) ownLoss(s *server, w *Work, e estimate, now time.Time) float64 {
+func (c *Scheduler) ownLoss(s *server, w *Request, e estimate, now time.Time) float64 {
 	inTime := 1.0
-	if !w.FirstBy.IsZero() {
-		inTime = 1 - firstEventMissProbability(e.wait, w.FirstBy.Sub(now))
+	if !w.FirstEventDeadline.IsZero() {
+		inTime = 1 - firstEventMissProbability(e.wait, w.FirstEventDeadline.Sub(now))
 	}
-	if w.Pause > 0 {
+	if w.MaxEventGap > 0 {
 		inTime *= math.Exp(-s.stallRate(now) * c.streamDuration(w.Route).Seconds())
 	}
 	return float64(valueOf(w)) * (1 - inTime)
@@ -124,7 +124,7 @@
 		if l.firstEventAt.IsZero() {
 			before = max(s.prefillDoneAt.Sub(l.prefillDoneAt), 0)
 		}
-		sum += float64(l.value) * (gapMissProbability(before+e.prefill, l.request.Pause) - gapMissProbability(before, l.request.Pause))
+		sum += float64(l.value) * (gapMissProbability(before+e.prefill, l.request.MaxEventGap) - gapMissProbability(before, l.request.MaxEventGap))
 	}
 	o := s.remoteAt(now)
 	return sum + float64(o.atRisk)*(gapMissProbability(e.backlog+e.prefill, o.gapObjective)-gapMissProbability(e.backlog, o.gapObjective))
--- a/internal/place/parts.go
+++ b/internal/place/parts.go
@@ -19,7 +19,7 @@
 }
 
 // partsOf returns a prompt's parts in order.
-func partsOf(w *Work) []part {
+func partsOf(w *Request) []part {
 	out := make([]part, len(w.Parts))
 	for i, p := range w.Parts {
 		out[i] = part{partKey(xxhash.Sum64String(p.ID)), p.Tokens}
@@ -64,7 +64,7 @@
 }
 
 // PartKeys returns the hashes of the ids of a prompt's parts, as load trackers know them.
-func (w *Work) Keys() []uint64 {
+func (w *Request) PartKeys() []uint64 {
 	var out []uint64
 	for _, p := range partsOf(w) {
 		out = append(out, uint64(p.key))
@@ -88,7 +88,7 @@
 }
 
 // locateParts finds where a request's shared parts are cached. The caller holds mu.
-func (c *Chooser) locateParts(records []*wire.ServerRecord, w *Work, now time.Time) partLocations {
+func (c *Scheduler) locateParts(records []*wire.ServerRecord, w *Request, now time.Time) partLocations {
 	o := partLocations{parts: partsOf(w)}
 	o.shared = sharedParts(o.parts)
 	if len(o.parts) == 0 {
--- a/internal/place/placement.go
+++ b/internal/place/placement.go
@@ -14,22 +14,22 @@
 type Placement struct {
 	Record *wire.ServerRecord
 	// Preferred reports that the server is the preferred one for the prompt's shared parts.
-	Home bool
+	Preferred bool
 	// FetchFrom is the address of a server that has more of these parts cached; empty for none.
 	FetchFrom string
 	// Running is how many requests all routers had there before, as far as this router knew, and
 	// LoadAge the age of that knowledge; negative if there was no report of the server's load
 	// tracker.
 	Running int
-	Told    time.Duration
+	LoadAge time.Duration
 	// Cold reports that the server was cold, and the request had a grant. The caller of Place
 	// sets it.
 	Cold bool
 
-	scheduler *Chooser
+	scheduler *Scheduler
 	server    *server
-	request   *Work
-	value     requestValue
+	request   *Request
+	value     value
 	// estimate is the prediction when the server was chosen.
 	estimate
 	startedAt time.Time
@@ -52,19 +52,19 @@
 }
 
 // inTime reports whether a gap could still make the stream late.
-func (l *Placement) inTime() bool { return !l.late && l.request.Pause > 0 }
+func (l *Placement) inTime() bool { return !l.late && l.request.MaxEventGap > 0 }
 
 // Predicted returns the predicted time of the first event, and how long the server had other
 // prompts to prefill.
-func (l *Placement) Expected() (first time.Time, backlog time.Duration) {
+func (l *Placement) Predicted() (first time.Time, backlog time.Duration) {
 	return l.startedAt.Add(l.wait), l.backlog
 }
 
 // UncachedTokens returns how many tokens of the prompt had to be prefilled.
-func (l *Placement) Unread() int64 { return int64(l.uncached) }
+func (l *Placement) UncachedTokens() int64 { return int64(l.uncached) }
 
 // RecordFirstEvent records that the response has begun; later calls do nothing.
-func (l *Placement) First(now time.Time) {
+func (l *Placement) RecordFirstEvent(now time.Time) {
 	c := l.scheduler
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +72,7 @@
 		return
 	}
 	l.firstEventAt = now
-	if !l.request.FirstBy.IsZero() && now.After(l.request.FirstBy) {
+	if !l.request.FirstEventDeadline.IsZero() && now.After(l.request.FirstEventDeadline) {
 		l.late = true
 	}
 	if l.request.Engine != nil {
@@ -87,14 +87,14 @@
 }
 
 // sendUpdate sends an update to the load tracker of an engine. The caller holds mu.
-func (c *Chooser) sendUpdate(l *Placement, n *wire.GaugeNote) {
-	if c.Tell != nil && l.request.Engine != nil {
-		c.Tell(l.Record, n)
+func (c *Scheduler) sendUpdate(l *Placement, n *wire.GaugeNote) {
+	if c.SendUpdate != nil && l.request.Engine != nil {
+		c.SendUpdate(l.Record, n)
 	}
 }
 
 // sendRun reports a request that is sent. The caller holds mu.
-func (c *Chooser) sendRun(l *Placement, parts []part, now time.Time) {
+func (c *Scheduler) sendRun(l *Placement, parts []part, now time.Time) {
 	c.lastNumber++
 	l.number = c.lastNumber
 	deadline := l.request.Deadline
@@ -102,15 +102,15 @@
 		deadline = now.Add(defaultRunTimeout)
 	}
 	r := &wire.GaugeRun{
-		Number: l.number, ReadMicros: l.prefill.Microseconds(), PauseMillis: l.request.Pause.Milliseconds(),
+		Number: l.number, ReadMicros: l.prefill.Microseconds(), PauseMillis: l.request.MaxEventGap.Milliseconds(),
 		Worth: int64(l.value), LongThousandths: int64(l.stallRisk * wireScale), DeadlineMicros: deadline.Sub(now).Microseconds(),
 	}
 	for _, p := range parts {
 		r.Parts = append(r.Parts, uint64(p.key))
 	}
 	c.sendUpdate(l, &wire.GaugeNote{Note: &wire.GaugeNote_Run{Run: r}})
-	if h := l.request.preferred; h != nil && h != l.Record && c.Tell != nil {
-		c.Tell(h, &wire.GaugeNote{Note: &wire.GaugeNote_Elsewhere{Elsewhere: &wire.GaugeElsewhere{
+	if h := l.request.preferred; h != nil && h != l.Record && c.SendUpdate != nil {
+		c.SendUpdate(h, &wire.GaugeNote{Note: &wire.GaugeNote_Elsewhere{Elsewhere: &wire.GaugeElsewhere{
 			Part: uint64(affinityKey(parts)), Server: l.Record.GetId(),
 		}}})
 	}
@@ -128,16 +128,16 @@
 
 // learnFromFirstEvent updates the slowdown of the server, and also the prefill model if no other
 // prefill was queued there. The caller holds mu.
-func (c *Chooser) learnFromFirstEvent(l *Placement, took time.Duration) {
+func (c *Scheduler) learnFromFirstEvent(l *Placement, took time.Duration) {
 	s := l.server
 	s.updateSlowdown(l.backlog+l.prefill, took-c.prefill.Base()-c.prefill.FetchTime(l.fetched))
 	if l.uncontended {
-		c.prefill.Observe(l.uncached, l.request.Prompt, l.fetched, time.Duration(float64(took)/max(s.slowdown, 1)))
+		c.prefill.Observe(l.uncached, l.request.PromptTokens, l.fetched, time.Duration(float64(took)/max(s.slowdown, 1)))
 	}
 }
 
 // RecordLate records that the stream has missed its objective for gaps between events.
-func (l *Placement) Late() {
+func (l *Placement) RecordLate() {
 	l.scheduler.mu.Lock()
 	defer l.scheduler.mu.Unlock()
 	l.late = true
@@ -156,7 +156,7 @@
 		return
 	}
 	l.server.failures, l.server.ejectedUntil = 0, time.Time{}
-	if !l.firstEventAt.IsZero() && l.request.Pause > 0 {
+	if !l.firstEventAt.IsZero() && l.request.MaxEventGap > 0 {
 		c.updateStreamDuration(l.request.Route, now.Sub(l.firstEventAt))
 	}
 }
@@ -164,7 +164,7 @@
 // CancelNotRun ends an attempt that the server has not run: the prompt's parts are not cached
 // there. Otherwise a server that rejects requests would seem to have their parts and attract
 // more of them.
-func (l *Placement) NotRun(now time.Time) {
+func (l *Placement) CancelNotRun(now time.Time) {
 	c := l.scheduler
 	c.mu.Lock()
 	l.server.removeAddedParts(l)
@@ -178,7 +178,7 @@
 // be rejected once in each backoff, by several servers, and has only two attempts. With 102
 // routers 310 of 90,087 requests are refused instead of 3,446; with 4 routers 4 percent fewer
 // requests are served in time (TestRoutersTellGaugesOfRests).
-func (l *Placement) Rests(rest time.Duration) {
+func (l *Placement) ReportBackoff(rest time.Duration) {
 	l.scheduler.mu.Lock()
 	defer l.scheduler.mu.Unlock()
 	l.scheduler.sendUpdate(l, &wire.GaugeNote{Note: &wire.GaugeNote_RestMillis{RestMillis: rest.Milliseconds()}})
--- a/internal/place/plain_test.go
+++ b/internal/place/plain_test.go
@@ -19,7 +19,7 @@
 	rand    *rand.Rand
 	servers []*wire.ServerRecord
 	state   map[string]*plainServer
-	routers []*Chooser
+	routers []*Scheduler
 	events  simulatedEvents
 	// arrivals counts requests by server, and latencies holds the latency of each.
 	arrivals  map[string]int
@@ -43,7 +43,7 @@
 		f.state[id] = &plainServer{slotsFreeAt: make([]time.Time, plainSlots)}
 	}
 	for i := range routers {
-		c := NewChooser(sumachead.HallID(fmt.Sprint("hall-", i%halls)))
+		c := NewScheduler(sumachead.HallID(fmt.Sprint("hall-", i%halls)))
 		c.tieBreakSeed = f.rand.Uint64()
 		f.routers = append(f.routers, c)
 	}
@@ -65,7 +65,7 @@
 
 // request has a router choose a server, which ends the request after it had a slot.
 func (f *plainFleet) request() {
-	w := &Work{Route: "check"}
+	w := &Request{Route: "check"}
 	c := f.routers[f.rand.IntN(len(f.routers))]
 	l := c.Place(c.Candidates(f.servers, nil, w, f.now), nil, w, f.now)
 	f.arrivals[l.Record.GetId()]++
--- a/internal/place/backoff_test.go
+++ b/internal/place/rests_test.go
@@ -39,7 +39,7 @@
 	for i, r := range f.routers {
 		own := make(map[sumachead.ServerID]time.Time)
 		rests[i] = own
-		r.Rest = func(id sumachead.ServerID) time.Duration { return max(own[id].Sub(f.now), 0) }
+		r.Backoff = func(id sumachead.ServerID) time.Duration { return max(own[id].Sub(f.now), 0) }
 	}
 	sheds := make(map[string]bool)
 	for _, r := range f.servers[:resting] {
@@ -69,17 +69,17 @@
 				p.rejected++
 				rests[n][sumachead.ServerID(id)] = f.now.Add(backoff)
 				if hints {
-					l.Rests(backoff)
+					l.ReportBackoff(backoff)
 				}
-				l.NotRun(f.now)
+				l.CancelNotRun(f.now)
 				tried = append(tried, sumachead.ServerID(id))
 				continue
 			}
 			first := f.prefill(id, w)
-			if first.After(w.FirstBy) {
+			if first.After(w.FirstEventDeadline) {
 				p.late++
 			}
-			heap.Push(&f.events, simulatedEvent{first, func() { l.First(f.now) }})
+			heap.Push(&f.events, simulatedEvent{first, func() { l.RecordFirstEvent(f.now) }})
 			heap.Push(&f.events, simulatedEvent{first.Add(time.Second), func() { l.Done(true, f.now) }})
 			break
 		}
@@ -167,13 +167,13 @@
 		{"third router, longer", time.Second, "c", 4 * time.Second, 4 * time.Second},
 		{"all but one ended", 5500 * time.Millisecond, "c", 0, 0},
 	}
-	g := &Gauge{}
+	g := &LoadTracker{}
 	for _, tt := range steps {
 		now := begun.Add(tt.at)
-		g.Note(&wire.GaugeNotes{Router: tt.router, Server: "s", Notes: []*wire.GaugeNote{
+		g.Update(&wire.GaugeNotes{Router: tt.router, Server: "s", Notes: []*wire.GaugeNote{
 			{Note: &wire.GaugeNote_RestMillis{RestMillis: tt.rest.Milliseconds()}},
 		}}, now)
-		a := g.Answer(&wire.GaugeQuestion{Router: "other", Server: "s"}, now)
+		a := g.Query(&wire.GaugeQuestion{Router: "other", Server: "s"}, now)
 		if got := time.Duration(a.GetRestMillis()) * time.Millisecond; got != tt.want {
 			t.Errorf("%s: all routers get %v, want %v", tt.name, got, tt.want)
 		}
--- a/internal/place/server.go
+++ b/internal/place/server.go
@@ -67,7 +67,7 @@
 	prefillDoneAt time.Time
 	// atRisk is the value of their streams that have been in time so far, and gapObjective the
 	// minimum of these streams' objectives for gaps.
-	atRisk       requestValue
+	atRisk       value
 	gapObjective time.Duration
 	// stalls is the expected number of gaps caused by their prompts.
 	stalls float64
@@ -197,7 +197,7 @@
 			continue
 		}
 		l.AtRisk += int64(r.value)
-		if p := r.request.Pause.Milliseconds(); p > 0 && (l.PauseMillis == 0 || p < l.PauseMillis) {
+		if p := r.request.MaxEventGap.Milliseconds(); p > 0 && (l.PauseMillis == 0 || p < l.PauseMillis) {
 			l.PauseMillis = p
 		}
 	}
@@ -216,7 +216,7 @@
 		at:            now,
 		running:       int(l.GetRunning()),
 		prefillDoneAt: now.Add(max(read-max(s.prefillDoneAt.Sub(now), 0), 0)),
-		atRisk:        requestValue(l.GetAtRisk()),
+		atRisk:        value(l.GetAtRisk()),
 		gapObjective:  time.Duration(l.GetPauseMillis()) * time.Millisecond,
 		stalls:        max(float64(l.GetLongThousandths())/wireScale-s.stalls.value(now, stallDecayTime), 0),
 	}
--- a/internal/router/reserve.go
+++ b/internal/router/reserve.go
@@ -72,14 +72,14 @@
 // reserveWithRoom reserves, and asks again while the budget is short only because of the
 // upper bounds of requests under way, and these are expected to end in time.
 func (d *dispatch) reserveWithRoom(ctx context.Context, r *wire.ReserveRequest) (*wire.LedgerReply, error) {
-	p := patience.AsLong{Since: time.Now()}
+	p := patience.ElapsedEstimate{Since: time.Now()}
 	end, _ := ctx.Deadline() // the caller's, or an earlier one
 	for {
 		reply, err := d.ledger.Reserve(ctx, r) // held there until there may be room
 		if err != nil || !reply.GetRoomSoon() {
 			return reply, err
 		}
-		if _, wait := patience.Wait(p, usefulUntil(end), time.Now()); !wait {
+		if _, wait := patience.ShouldWait(p, usefulUntil(end), time.Now()); !wait {
 			return reply, nil
 		}
 	}
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -19,7 +19,7 @@
 			return err
 		}
 		now := time.Now()
-		again, wait := patience.Wait(d.lacking(), usefulUntil(d.x.deadline), now)
+		again, wait := patience.ShouldWait(d.lacking(), usefulUntil(d.x.deadline), now)
 		if !wait {
 			return err
 		}
@@ -34,8 +34,8 @@
 }
 
 // usefulUntil is the use of an answer to a caller who tells nothing but a deadline.
-func usefulUntil(deadline time.Time) patience.Use {
-	return patience.Use{InTime: deadline, Deadline: deadline}
+func usefulUntil(deadline time.Time) patience.Deadlines {
+	return patience.Deadlines{Soft: deadline, Hard: deadline}
 }
 
 // mayAwait reports whether a refused attempt is one that a backend server may take as
@@ -53,7 +53,7 @@
 	if pool := d.follower.View().Pool(d.x.pool.ID); pool != nil {
 		latest = d.links.silentSince(pool, latest)
 	}
-	return patience.AsLong{Since: latest}
+	return patience.ElapsedEstimate{Since: latest}
 }
 
 // silentSince returns the latest time, after the one given, since which a backend server
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -47,7 +47,7 @@
 	// it may; nil if no server is ever blocked. It is checked after a connection is available,
 	// right before a request is sent: a notice of the server may have arrived since it was
 	// chosen.
-	Unwanted func(sumachead.ServerID) sumachead.Reason
+	BlockReason func(sumachead.ServerID) sumachead.Reason
 
 	mu      sync.Mutex // guards servers
 	servers map[Server]*serverConns
@@ -62,10 +62,10 @@
 
 // blocked returns the failure of a request that may not be sent; nil if it may.
 func (p *Pool) blocked(id sumachead.ServerID) *Failure {
-	if p.Unwanted == nil {
+	if p.BlockReason == nil {
 		return nil
 	}
-	if why := p.Unwanted(id); why != "" {
+	if why := p.BlockReason(id); why != "" {
 		return &Failure{sumachead.NotRun, why, errBlocked}
 	}
 	return nil
@@ -134,7 +134,7 @@
 
 // CloseServer closes all connections to an incarnation that has ended: its host may be down
 // without closing them, and requests in flight there fail now instead of at their deadlines.
-func (p *Pool) End(s Server) {
+func (p *Pool) CloseServer(s Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sc := p.servers[s]
@@ -176,7 +176,7 @@
 
 // Prune closes connections whose idle timeout has passed, and drops servers that are no longer
 // used.
-func (p *Pool) Tidy(now time.Time) {
+func (p *Pool) Prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s, sc := range p.servers {
@@ -195,4 +195,4 @@
 }
 
 // Close closes the idle connections.
-func (p *Pool) Close() { p.Tidy(time.Now().Add(unusedServerTTL)) }
+func (p *Pool) Close() { p.Prune(time.Now().Add(unusedServerTTL)) }
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -41,7 +41,7 @@
 func (f *Failure) Unwrap() error { return f.Err }
 
 // Response is the head of a server's response, and a reader of its body. Close it.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Head   sumachead.AnswerHead
@@ -62,7 +62,7 @@
 }
 
 // Read reads the body. io.EOF means that the body is complete.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
 		a.complete = true
@@ -72,7 +72,7 @@
 
 // Close returns the connection to the pool if the response was read completely, and closes it
 // otherwise, which tells the server to stop.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	interrupted := !a.stop()
 	now := time.Now()
 	if a.complete && a.reusable && !interrupted && a.conn.br.Buffered() == 0 {
@@ -89,7 +89,7 @@
 
 // Send sends a request to a server, on at most maxConns connections at a time, and returns the
 // head of its response. The error is a [*Failure]. When ctx ends, the connection is closed.
-func (p *Pool) Send(ctx context.Context, s Server, maxConns int, r *sumachead.CallerRequest, t *sumachead.Attempt) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, s Server, maxConns int, r *sumachead.CallerRequest, t *sumachead.Attempt) (*Response, error) {
 	c, err := p.connect(ctx, s, maxConns)
 	if err != nil {
 		reason := sumachead.ReasonServerUnreached
@@ -102,7 +102,7 @@
 		p.release(s, c)
 		return nil, f
 	}
-	a := &Answer{pool: p, server: s, conn: c, sentAt: boottime.Clock{}.Now()}
+	a := &Response{pool: p, server: s, conn: c, sentAt: boottime.Clock{}.Now()}
 	a.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if err := a.exchange(p.encode(r, t), r); err != nil {
 		a.stop()
@@ -140,7 +140,7 @@
 }
 
 // exchange writes a request and reads the head of its response.
-func (a *Answer) exchange(request []byte, r *sumachead.CallerRequest) error {
+func (a *Response) exchange(request []byte, r *sumachead.CallerRequest) error {
 	first := request[:min(len(request), maxInlineRequest)]
 	if n, err := a.conn.Write(first); err != nil {
 		if n == 0 {
@@ -167,7 +167,7 @@
 
 // finishBody waits until the rest of a request with an early response is written. The
 // connection is not reused if the write fails or takes too long.
-func (a *Answer) finishBody(written <-chan error) {
+func (a *Response) finishBody(written <-chan error) {
 	select {
 	case err := <-written:
 		a.reusable = a.reusable && err == nil
@@ -178,7 +178,7 @@
 
 // readHead reads response heads until that of this request. Responses to earlier requests, which
 // a server may send twice, are skipped.
-func (a *Answer) readHead(r *sumachead.CallerRequest) error {
+func (a *Response) readHead(r *sumachead.CallerRequest) error {
 	for range maxStrayResponses + 1 {
 		//nolint:bodyclose // Close ends the connection, or gives it back once the body was read
 		resp, err := http.ReadResponse(a.conn.br, &http.Request{Method: r.Method})
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -347,7 +347,7 @@
 	if _, err := c.Read(make([]byte, 1)); err != nil { // the request has arrived
 		t.Fatal(err)
 	}
-	p.End(s)
+	p.CloseServer(s)
 	select {
 	case err := <-failed:
 		var f *Failure
@@ -402,7 +402,7 @@
 		}
 	})
 	dials, why := 0, sumachead.ReasonResting
-	p := &Pool{Dialect: testDialect{}, OnDial: func() { dials++ }, Unwanted: func(sumachead.ServerID) sumachead.Reason { return why }}
+	p := &Pool{Dialect: testDialect{}, OnDial: func() { dials++ }, BlockReason: func(sumachead.ServerID) sumachead.Reason { return why }}
 	for range 3 {
 		_, err := exchange(p, address, "1")
 		var f *Failure
