--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -73,8 +73,8 @@
 	LinkBytes int64
 	// TrackerAddress returns the address of the load tracker beside an engine, or an empty string
 	// if it has none; nil if no engine has one.
-	GaugeAddress func(*wire.ServerRecord) string
-	Log          hclog.Logger
+	TrackerAddress func(*wire.ServerRecord) string
+	Log            hclog.Logger
 
 	client     *fleetclient.Client
 	wallet     *escrow.Wallet
@@ -152,7 +152,7 @@
 		return max(g.backoffs.Remaining(id), g.limits.Denials.Remaining(id))
 	}
 	g.scheduler.Limited = func(id sumachead.ServerID) bool { return g.limits.Get(id).Rate > 0 }
-	g.trackers = &trackerClient{Address: g.GaugeAddress, Pool: g.Pool, Scheduler: g.scheduler, Limits: &g.limits.Table}
+	g.trackers = &trackerClient{Address: g.TrackerAddress, Pool: g.Pool, Scheduler: g.scheduler, Limits: &g.limits.Table}
 	g.trackers.prepare()
 	g.handle = chain.Wrap(g.dispatch, g.settingsFilter, g.routeFilter, g.workspaceFilter, g.deadlineFilter, g.escrowFilter)
 	g.retries = &retryBudget{ratio: g.RetryRatio, extra: g.RetryExtra, window: g.RetryWindow}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -20,14 +20,14 @@
 
 // SplitGracePeriod splits the grace period of a planned stop: for how long new callers are still
 // accepted, and then how long requests in flight may take to finish.
-func StopTimes(grace time.Duration) (drain, finish time.Duration) {
+func SplitGracePeriod(grace time.Duration) (drain, finish time.Duration) {
 	drain = min(maxDrainTime, grace/drainDivisor)
 	return drain, grace - grace/escrowReturnDivisor - drain
 }
 
 // DrainCallers makes the gateway not ready and waits until the load balancer should send no more
 // callers or ctx ends. Requests that still arrive are served.
-func (g *Gateway) TurnAway(ctx context.Context, drain time.Duration) {
+func (g *Gateway) DrainCallers(ctx context.Context, drain time.Duration) {
 	g.stopping.Store(true)
 	g.lender.Stop()
 	loop.Sleep(ctx, drain)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -14,7 +14,7 @@
 		{3 * time.Second, time.Second, 1500 * time.Millisecond},
 	}
 	for _, tt := range tests {
-		turn, finish := StopTimes(tt.grace)
+		turn, finish := SplitGracePeriod(tt.grace)
 		if d := cmp.Diff([]time.Duration{tt.drain, tt.finish}, []time.Duration{turn, finish}); d != "" {
 			t.Errorf("grace %v (-want +got):\n%s", tt.grace, d)
 		}
