--- a/internal/escrow/asking.go
+++ b/internal/escrow/asking.go
@@ -7,54 +7,54 @@
 	"sumachead"
 )
 
-// Where a workspace lacks money that other holders have at hand, these are asked to give back, and
-// nobody else: what is told of a lack to all that follow the ledger would cost as many messages
-// as there are of them, for each workspace.
+// When a workspace is short of tokens that other holders have available, only those holders are
+// asked to return them. Notifying every follower of the ledger would cost as many messages as
+// there are followers, for each workspace.
 
-// asked is what a node has been asked to give back.
-type asked struct {
-	// of are the workspaces, by when the node was last asked.
-	of map[sumachead.WorkspaceID]time.Time
-	// changed is closed when there is another.
+// reclaimState is what a node has been asked to return.
+type reclaimState struct {
+	// requestedAt is when the node was last asked, by workspace.
+	requestedAt map[sumachead.WorkspaceID]time.Time
+	// changed is closed when a workspace is added.
 	changed chan struct{}
 }
 
-// askedOf returns what a node has been asked for. The caller holds mu.
-func (s *Sizer) askedOf(n sumachead.NodeID) *asked {
-	if s.asked == nil {
-		s.asked = make(map[sumachead.NodeID]*asked)
+// reclaimsOf returns the node's reclaim state. The caller holds mu.
+func (s *Sizer) reclaimsOf(n sumachead.NodeID) *reclaimState {
+	if s.reclaims == nil {
+		s.reclaims = make(map[sumachead.NodeID]*reclaimState)
 	}
-	if s.asked[n] == nil {
-		s.asked[n] = &asked{of: make(map[sumachead.WorkspaceID]time.Time), changed: make(chan struct{})}
+	if s.reclaims[n] == nil {
+		s.reclaims[n] = &reclaimState{requestedAt: make(map[sumachead.WorkspaceID]time.Time), changed: make(chan struct{})}
 	}
-	return s.asked[n]
+	return s.reclaims[n]
 }
 
-// askOthers asks the holders of a workspace's money, but for one that lacks some, to give back
-// what they have at hand. The caller holds mu.
-func (s *Sizer) askOthers(b *Book, w sumachead.WorkspaceID, by Holder, now time.Time) {
+// reclaimFromOthers asks the holders of a workspace's tokens, except the one that is short, to
+// return what they have available. The caller holds mu.
+func (s *Sizer) reclaimFromOthers(b *Book, w sumachead.WorkspaceID, by Holder, now time.Time) {
 	for h, x := range b.Holdings(w) {
-		if h == by || x.Out() <= x.Spent || !s.live(h) {
+		if h == by || x.Outstanding() <= x.Spent || !s.isLive(h) {
 			continue
 		}
-		a := s.askedOf(h.Node)
-		if now.Sub(a.of[w]) > wantFor {
+		a := s.reclaimsOf(h.Node)
+		if now.Sub(a.requestedAt[w]) > shortfallTimeout {
 			close(a.changed)
 			a.changed = make(chan struct{})
 		}
-		a.of[w] = now
+		a.requestedAt[w] = now
 	}
 }
 
-// Lacking lists the workspaces of which a node is to give back what it has at hand, since another
-// holder lacks some, and returns a channel that is closed when there is another.
+// ReclaimRequests lists the workspaces whose available tokens a node is asked to return because
+// another holder is short, and returns a channel that is closed when a workspace is added.
 func (s *Sizer) Lacking(n sumachead.NodeID, now time.Time) (ws []string, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.askedOf(n)
-	for w, at := range a.of {
-		if _, wanted := s.wants[w]; !wanted || now.Sub(at) > wantFor {
-			delete(a.of, w)
+	a := s.reclaimsOf(n)
+	for w, at := range a.requestedAt {
+		if _, wanted := s.shortfalls[w]; !wanted || now.Sub(at) > shortfallTimeout {
+			delete(a.requestedAt, w)
 			continue
 		}
 		ws = append(ws, string(w))
--- a/internal/escrow/book.go
+++ b/internal/escrow/book.go
@@ -9,13 +9,13 @@
 	"sumachead/api/wire"
 )
 
-// Holder names one life of a node that holds escrow.
+// Holder identifies one incarnation of a node that holds escrow.
 type Holder struct {
 	Node sumachead.NodeID
 	Boot sumachead.BootID
 }
 
-// holderMessage is a message that names a holder.
+// holderMessage is a message that identifies a holder.
 type holderMessage interface {
 	GetNode() string
 	GetBoot() string
@@ -26,60 +26,59 @@
 	return Holder{sumachead.NodeID(m.GetNode()), sumachead.BootID(m.GetBoot())}
 }
 
-// Holding is what one holder has of one workspace's budget. The amounts are
-// totals since the holder started.
+// Holding is one holder's share of one workspace's budget. The amounts are totals since the
+// holder started.
 type Holding struct {
 	Granted  sumachead.Tokens
 	Returned sumachead.Tokens
 	Spent    sumachead.Tokens
 }
 
-// Out returns what the holder has been granted and has not returned.
-func (h Holding) Out() sumachead.Tokens { return h.Granted - h.Returned }
+// Outstanding returns what the holder has been granted and has not returned.
+func (h Holding) Outstanding() sumachead.Tokens { return h.Granted - h.Returned }
 
-// reported returns the holding with what a position tells; an older report
-// changes nothing.
-func (h Holding) reported(p *wire.EscrowPosition) Holding {
+// withReport returns the holding updated from a reported position. Reports that arrive late
+// change nothing.
+func (h Holding) withReport(p *wire.EscrowPosition) Holding {
 	h.Spent = max(h.Spent, sumachead.Tokens(p.GetSpent()))
 	h.Returned = max(h.Returned, sumachead.Tokens(p.GetReturned()))
 	return h
 }
 
-// account is one workspace's budget.
+// account is the state of one workspace's budget.
 type account struct {
-	// closed is what holders that are gone count as having spent.
+	// closed is the amount counted as spent by closed holders.
 	closed sumachead.Tokens
-	// holdings are those of holders that are not gone; put and drop change them.
+	// holdings are those of open holders. Change them only by put and remove.
 	holdings map[Holder]Holding
-	// out is the sum of what all holdings have out.
-	out sumachead.Tokens
+	// outstanding is the sum over all holdings.
+	outstanding sumachead.Tokens
 }
 
 func newAccount() *account { return &account{holdings: make(map[Holder]Holding)} }
 
-// put replaces one holding.
+// put replaces one holding and updates the sum.
 func (a *account) put(h Holder, x Holding) {
-	a.out += x.Out() - a.holdings[h].Out()
+	a.outstanding += x.Outstanding() - a.holdings[h].Outstanding()
 	a.holdings[h] = x
 }
 
-// drop forgets one holding.
-func (a *account) drop(h Holder) {
-	a.out -= a.holdings[h].Out()
+// remove deletes one holding and updates the sum.
+func (a *account) remove(h Holder) {
+	a.outstanding -= a.holdings[h].Outstanding()
 	delete(a.holdings, h)
 }
 
-// Book is the ledger of escrow. It is deterministic and not safe for concurrent
-// use.
+// Ledger is the escrow ledger's state. It is deterministic and not safe for concurrent use.
 type Book struct {
-	// totals are the workspaces' budgets; one without a limit has none.
+	// totals are the workspaces' budgets; a workspace without a limit has no entry.
 	totals   map[sumachead.WorkspaceID]sumachead.Tokens
 	accounts map[sumachead.WorkspaceID]*account
-	// boots is the newest life of each node that holds escrow.
+	// boots is the newest incarnation of each node that holds escrow.
 	boots map[sumachead.NodeID]sumachead.BootID
 }
 
-// NewBook returns a book without budgets.
+// NewLedger returns a ledger without budgets.
 func NewBook() *Book {
 	return &Book{
 		totals:   make(map[sumachead.WorkspaceID]sumachead.Tokens),
@@ -88,20 +87,20 @@
 	}
 }
 
-// SetTotals replaces the workspaces' totals. Accounts of workspaces that are not
-// listed keep what they know, so that one that comes back has not forgotten what
-// it spent.
+// SetTotals replaces the workspaces' totals. Accounts of workspaces that are not listed are
+// kept, so that a workspace that is added back still counts what it spent.
 func (b *Book) SetTotals(totals map[sumachead.WorkspaceID]sumachead.Tokens) {
 	b.totals = maps.Clone(totals)
 }
 
-// Free returns what may still be granted; below 0 when the total was lowered.
+// Unallocated returns what may still be granted. It is below 0 after the total was lowered
+// below what is granted.
 func (b *Book) Free(w sumachead.WorkspaceID) sumachead.Tokens {
-	free := b.totals[w]
+	unallocated := b.totals[w]
 	if a := b.accounts[w]; a != nil {
-		free -= a.closed + a.out
+		unallocated -= a.closed + a.outstanding
 	}
-	return free
+	return unallocated
 }
 
 // Total returns a workspace's total; limited is false when it has none.
@@ -110,9 +109,9 @@
 	return total, limited
 }
 
-// known reports whether the holder's life is the one that the book deals with,
-// or one that it has not heard of and that holds nothing yet.
-func (b *Book) known(r *wire.EscrowReport) bool {
+// acceptsReport reports whether the report is from the node's current incarnation, or from a
+// new one that holds nothing yet.
+func (b *Book) acceptsReport(r *wire.EscrowReport) bool {
 	if b.boots[sumachead.NodeID(r.GetNode())] == sumachead.BootID(r.GetBoot()) {
 		return true
 	}
@@ -124,51 +123,51 @@
 	return true
 }
 
-// Apply takes in a report and grants on it, no more than is free. A life that the
-// book has closed gets an answer that says so. Reports may come more than once
-// and in any order: their amounts only grow.
+// Apply records a report and grants at most what is unallocated. The reply to a closed
+// incarnation says that it is closed. Reports may be duplicated or reordered, since their
+// amounts only grow.
 func (b *Book) Apply(g *wire.EscrowGrant) *wire.EscrowReply {
 	r := g.GetReport()
-	if !b.known(r) {
+	if !b.acceptsReport(r) {
 		return &wire.EscrowReply{Closed: true}
 	}
 	h := holderOf(r)
-	b.enter(h)
+	b.startIncarnation(h)
 	reply := &wire.EscrowReply{}
 	for i, p := range r.GetPositions() {
 		var grant sumachead.Tokens
 		if i < len(g.GetGrants()) {
 			grant = sumachead.Tokens(g.GetGrants()[i])
 		}
-		granted := b.position(h, p, grant)
+		granted := b.applyPosition(h, p, grant)
 		reply.Answers = append(reply.Answers, &wire.EscrowAnswer{
 			Workspace: p.GetWorkspace(), Granted: int64(granted), Keep: NoWish,
 		})
 	}
 	if r.GetClosing() {
-		b.close(h, true)
+		b.closeHolder(h, true)
 		delete(b.boots, h.Node)
 		reply.Closed = true
 	}
 	return reply
 }
 
-// enter makes h the life of its node. An earlier life can spend no more; what it
-// held and did not report counts as spent.
-func (b *Book) enter(h Holder) {
+// startIncarnation makes h the current incarnation of its node. The previous one can spend no
+// more; whatever it held and did not report counts as spent.
+func (b *Book) startIncarnation(h Holder) {
 	old, ok := b.boots[h.Node]
 	if ok && old == h.Boot {
 		return
 	}
 	if ok {
-		b.close(Holder{h.Node, old}, false)
+		b.closeHolder(Holder{h.Node, old}, false)
 	}
 	b.boots[h.Node] = h.Boot
 }
 
-// close folds a holder's accounts. A holder that tells its last figures gives
-// back what it has not spent.
-func (b *Book) close(h Holder, final bool) {
+// closeHolder removes a holder from all accounts. If its report is final, it returns what it
+// has not spent; otherwise all that it held counts as spent.
+func (b *Book) closeHolder(h Holder, final bool) {
 	for _, a := range b.accounts {
 		x, ok := a.holdings[h]
 		if !ok {
@@ -177,28 +176,28 @@
 		if final {
 			a.closed += x.Spent
 		} else {
-			a.closed += x.Out()
+			a.closed += x.Outstanding()
 		}
-		a.drop(h)
+		a.remove(h)
 	}
 }
 
-// position takes in one position and returns what the holder is granted in all.
-func (b *Book) position(h Holder, p *wire.EscrowPosition, grant sumachead.Tokens) sumachead.Tokens {
+// applyPosition records one position and returns the holder's total grant.
+func (b *Book) applyPosition(h Holder, p *wire.EscrowPosition, grant sumachead.Tokens) sumachead.Tokens {
 	w := sumachead.WorkspaceID(p.GetWorkspace())
 	a := b.accounts[w]
 	if a == nil {
 		a = newAccount()
 		b.accounts[w] = a
 	}
-	x := a.holdings[h].reported(p)
+	x := a.holdings[h].withReport(p)
 	a.put(h, x)
 	x.Granted += max(0, min(grant, b.Free(w)))
 	a.put(h, x)
 	return x.Granted
 }
 
-// Holdings returns what each holder has of a workspace's budget.
+// Holdings returns each holder's share of a workspace's budget.
 func (b *Book) Holdings(w sumachead.WorkspaceID) map[Holder]Holding {
 	if a := b.accounts[w]; a != nil {
 		return a.holdings
@@ -206,8 +205,8 @@
 	return nil
 }
 
-// Spent returns what a workspace has certainly or possibly spent: what holders
-// reported, and all that those hold that live does not confirm.
+// Spent returns an upper bound of what a workspace has spent: the reported spending of holders
+// that are live, and everything that other holders hold.
 func (b *Book) Spent(w sumachead.WorkspaceID, live func(Holder) bool) sumachead.Tokens {
 	a := b.accounts[w]
 	if a == nil {
@@ -219,12 +218,12 @@
 			sum += x.Spent
 			continue
 		}
-		sum += x.Out()
+		sum += x.Outstanding()
 	}
 	return sum
 }
 
-// Snapshot returns the accounts in a fixed order.
+// Snapshot returns the accounts sorted by workspace.
 func (b *Book) Snapshot() []*wire.AccountState {
 	var out []*wire.AccountState
 	for _, w := range slices.Sorted(maps.Keys(b.accounts)) {
@@ -242,7 +241,7 @@
 	return out
 }
 
-// compareHoldings orders by node, then by life.
+// compareHoldings orders by node, then by incarnation.
 func compareHoldings(a, b *wire.HoldingState) int {
 	return cmp.Or(cmp.Compare(a.GetNode(), b.GetNode()), cmp.Compare(a.GetBoot(), b.GetBoot()))
 }
--- a/internal/escrow/ends.go
+++ b/internal/escrow/ends.go
@@ -6,41 +6,42 @@
 	"sumachead"
 )
 
-// exhaustedFor is how long a ledger's word that a budget is used up is believed.
-const exhaustedFor = time.Second
+// exhaustedTimeout is how long a reply that a budget is exhausted remains valid.
+const exhaustedTimeout = time.Second
 
-// end is the ledger's word that a budget does not hold a request.
-type end struct {
-	// bound is the smallest of which it was said, and at when.
+// exhaustedReply is the ledger's reply that a budget does not cover a request.
+type exhaustedReply struct {
+	// bound is the smallest request that the reply was about, and at is when it came.
 	bound sumachead.Tokens
 	at    time.Time
 }
 
-// covers reports whether the word holds for a request.
-func (e end) covers(bound sumachead.Tokens, now time.Time) bool {
-	return now.Sub(e.at) < exhaustedFor && bound >= e.bound
+// covers reports whether the reply also applies to a request of this size.
+func (e exhaustedReply) covers(bound sumachead.Tokens, now time.Time) bool {
+	return now.Sub(e.at) < exhaustedTimeout && bound >= e.bound
 }
 
-// ends is what the ledger has said lately of the end of a budget: of the smallest request,
-// and last. A word on a large request does not replace the one on a small one, nor prolong
-// it. An answer to a report that asked for nothing says nothing of the end.
+// exhaustion keeps the ledger's recent replies that a budget is exhausted: the one about the
+// smallest request, and the last one. A reply about a large request neither replaces nor
+// prolongs the one about a small request. A reply to a report that asked for nothing does not
+// say whether the budget is exhausted.
 //
-// At the end of a budget requests of all sizes come, and each that is not covered is told
-// to come back: on a day with 24 budgets, 20 of which ended, 1,237 tries were told so, and
-// of some 1,300 that came later than ten seconds after the first word of an end three were
-// served (counted in the lines of all routers).
-type ends struct{ smallest, last end }
-
-// note takes in a word.
-func (e *ends) note(bound sumachead.Tokens, now time.Time) {
-	e.last = end{bound, now}
-	if bound <= e.smallest.bound || now.Sub(e.smallest.at) >= exhaustedFor {
+// Requests of all sizes arrive after a budget is exhausted, and each that no reply covers is
+// told to retry, almost always in vain: with 20 of 24 budgets exhausted, 1,237 requests were
+// told to retry, and of about 1,300 that came more than ten seconds after the first exhausted
+// reply three were served.
+type exhaustion struct{ smallest, last exhaustedReply }
+
+// record adds a reply.
+func (e *exhaustion) record(bound sumachead.Tokens, now time.Time) {
+	e.last = exhaustedReply{bound, now}
+	if bound <= e.smallest.bound || now.Sub(e.smallest.at) >= exhaustedTimeout {
 		e.smallest = e.last
 	}
 }
 
-// covers reports whether the ledger has said lately that the budget does not hold a
-// request.
-func (e *ends) covers(bound sumachead.Tokens, now time.Time) bool {
+// covers reports whether a recent reply says that the budget does not cover a request of this
+// size.
+func (e *exhaustion) covers(bound sumachead.Tokens, now time.Time) bool {
 	return e.smallest.covers(bound, now) || e.last.covers(bound, now)
 }
--- a/internal/escrow/ends_test.go
+++ b/internal/escrow/ends_test.go
@@ -10,33 +10,33 @@
 	"sumachead/internal/patience"
 )
 
-func TestEnds(t *testing.T) {
+func TestExhaustion(t *testing.T) {
 	start := time.Now()
-	type word struct {
+	type reply struct {
 		at    time.Duration
 		bound sumachead.Tokens
 	}
 	tests := []struct {
-		name  string
-		words []word
-		at    time.Duration
-		bound sumachead.Tokens
-		want  bool
+		name    string
+		replies []reply
+		at      time.Duration
+		bound   sumachead.Tokens
+		want    bool
 	}{
-		{"nothing was said", nil, 0, 1000, false},
-		{"said of as much", []word{{0, 1000}}, exhaustedFor / 2, 1000, true},
-		{"said of less", []word{{0, 1000}}, exhaustedFor / 2, 9000, true},
-		{"said of more", []word{{0, 9000}}, exhaustedFor / 2, 1000, false},
-		{"too long ago", []word{{0, 1000}}, exhaustedFor, 1000, false},
-		{"a word on a larger one does not replace it", []word{{0, 1000}, {exhaustedFor / 2, 9000}}, exhaustedFor * 3 / 4, 1000, true},
-		{"nor prolong it", []word{{0, 1000}, {exhaustedFor / 2, 9000}}, exhaustedFor * 5 / 4, 1000, false},
-		{"the larger one is believed for itself", []word{{0, 1000}, {exhaustedFor / 2, 9000}}, exhaustedFor * 5 / 4, 9000, true},
+		{"no reply", nil, 0, 1000, false},
+		{"same size", []reply{{0, 1000}}, exhaustedTimeout / 2, 1000, true},
+		{"smaller request refused", []reply{{0, 1000}}, exhaustedTimeout / 2, 9000, true},
+		{"larger request refused", []reply{{0, 9000}}, exhaustedTimeout / 2, 1000, false},
+		{"expired", []reply{{0, 1000}}, exhaustedTimeout, 1000, false},
+		{"a reply about a larger request does not replace it", []reply{{0, 1000}, {exhaustedTimeout / 2, 9000}}, exhaustedTimeout * 3 / 4, 1000, true},
+		{"nor prolong it", []reply{{0, 1000}, {exhaustedTimeout / 2, 9000}}, exhaustedTimeout * 5 / 4, 1000, false},
+		{"the reply about the larger request is valid for that size", []reply{{0, 1000}, {exhaustedTimeout / 2, 9000}}, exhaustedTimeout * 5 / 4, 9000, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var e ends
-			for _, w := range tt.words {
-				e.note(w.bound, start.Add(w.at))
+			var e exhaustion
+			for _, w := range tt.replies {
+				e.record(w.bound, start.Add(w.at))
 			}
 			if got := e.covers(tt.bound, start.Add(tt.at)); got != tt.want {
 				t.Errorf("covered %t, want %t", got, tt.want)
@@ -45,9 +45,9 @@
 	}
 }
 
-// At the end of a budget callers are told so, and not to come back, also after the next
-// periodic report, which asks for nothing; and once there is money again, they get it.
-func TestEndOfABudgetIsSaidUntilMoneyComes(t *testing.T) {
+// After a budget is exhausted, requests are refused with that reason and not told to retry,
+// also after a periodic report, which asks for nothing. After a top-up they are admitted again.
+func TestBudgetExhaustedUntilTopUp(t *testing.T) {
 	l := newLedger(10_000)
 	h := newHolder("router-1", "a")
 	h.report(l, time.Now())
@@ -59,16 +59,16 @@
 		}
 		return r, ""
 	}
-	ask(20_000) // asks the ledger, in vain
+	ask(20_000) // asks the ledger, without success
 	h.report(l, time.Now())
 	h.Touch([]sumachead.WorkspaceID{clerks})
 	h.report(l, time.Now())
 	h.report(l, time.Now())
 	if _, reason := ask(20_000); reason != sumachead.ReasonBudgetExhausted {
-		t.Errorf("refused with %q at the end of the budget", reason)
+		t.Errorf("refused with %q after the budget was exhausted", reason)
 	}
-	l.book.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: 100_000})
-	time.Sleep(exhaustedFor)
+	l.state.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: 100_000})
+	time.Sleep(exhaustedTimeout)
 	ask(20_000) // asks again
 	h.report(l, time.Now())
 	if r, reason := ask(20_000); r == nil {
--- a/internal/escrow/escrow_test.go
+++ b/internal/escrow/escrow_test.go
@@ -16,7 +16,7 @@
 
 const clerks sumachead.WorkspaceID = "clerks"
 
-// holder is a wallet with what a reporter does, without processes.
+// holder is a wallet that reports to a ledger by direct calls.
 type holder struct {
 	*Wallet
 	boot sumachead.BootID
@@ -25,42 +25,42 @@
 func newHolder(node sumachead.NodeID, boot sumachead.BootID) *holder {
 	h := &holder{&Wallet{Node: node, Kick: func() {}}, boot}
 	h.Open(boot)
-	h.purse(clerks)
+	h.balance(clerks)
 	return h
 }
 
-// ledger is a book with its sizer.
-type ledger struct {
-	book  *Book
-	sizer *Sizer
+// testLedger is a ledger with its allocator.
+type testLedger struct {
+	state     *Book
+	allocator *Sizer
 }
 
-func newLedger(total sumachead.Tokens) *ledger {
-	l := &ledger{NewBook(), &Sizer{}}
-	l.book.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: total})
+func newLedger(total sumachead.Tokens) *testLedger {
+	l := &testLedger{NewBook(), &Sizer{}}
+	l.state.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: total})
 	return l
 }
 
-func (l *ledger) take(r *wire.EscrowReport, now time.Time) *wire.EscrowReply {
-	l.sizer.Note(r, now)
-	grants, advice := l.sizer.Size(l.book, r, now)
-	reply := l.book.Apply(&wire.EscrowGrant{Report: r, Grants: grants})
+func (l *testLedger) apply(r *wire.EscrowReport, now time.Time) *wire.EscrowReply {
+	l.allocator.Note(r, now)
+	grants, advice := l.allocator.Size(l.state, r, now)
+	reply := l.state.Apply(&wire.EscrowGrant{Report: r, Grants: grants})
 	for i, a := range reply.GetAnswers() {
 		a.Keep, a.Exhausted = advice[i].GetKeep(), advice[i].GetExhausted()
 	}
 	return reply
 }
 
-// report carries one report and its reply; it reports whether the life is closed.
-func (h *holder) report(l *ledger, now time.Time) bool {
+// report sends one report and applies its reply. It reports whether the incarnation is closed.
+func (h *holder) report(l *testLedger, now time.Time) bool {
 	r := h.Report(now, false)
 	if r == nil {
 		return false
 	}
-	return h.Take(l.take(r, now), h.boot, h.boot+"'", now)
+	return h.Take(l.apply(r, now), h.boot, h.boot+"'", now)
 }
 
-// spend reserves and settles at once; false means that it was refused.
+// spend reserves and settles at once. It returns false if it was refused.
 func (h *holder) spend(bound, bill sumachead.Tokens) bool {
 	r, err := h.Reserve(context.Background(), clerks, bound, patience.Use{}, 0)
 	if err != nil {
@@ -80,14 +80,14 @@
 	}
 	h.report(l, now)
 	if !h.spend(50_000, 40_000) {
-		t.Fatal("refused although the ledger had it")
+		t.Fatal("refused although the ledger had granted it")
 	}
 	if h.spend(70_000, 70_000) {
 		t.Fatal("spent more than the total")
 	}
 }
 
-// A holder whose demand falls away gives back in a few pieces: each is a commit.
+// A holder whose demand drops must return its tokens in a few reports, since each is a commit.
 func TestFallingDemandTakesFewReports(t *testing.T) {
 	l := newLedger(10_000_000)
 	h := newHolder("router-1", "a")
@@ -99,23 +99,23 @@
 	}
 	before := h.AtHand(clerks)
 	reports := 0
-	const idle, step, touched = 30 * time.Second, 30 * time.Millisecond, 3 * time.Second
+	const idle, step, reportInterval = 30 * time.Second, 30 * time.Millisecond, 3 * time.Second
 	for at := time.Duration(0); at < idle; at += step {
 		now = now.Add(step)
-		if at%touched == 0 {
-			h.Touch([]sumachead.WorkspaceID{clerks}) // a report is due now and then
+		if at%reportInterval == 0 {
+			h.Touch([]sumachead.WorkspaceID{clerks}) // occasionally a report is due
 		}
 		if r := h.Report(now, false); r != nil {
 			reports++
-			h.Take(l.take(r, now), h.boot, "", now)
+			h.Take(l.apply(r, now), h.boot, "", now)
 		}
 	}
-	const most = 25
-	if reports > most {
-		t.Errorf("%d reports, at most %d expected", reports, most)
+	const maxReports = 25
+	if reports > maxReports {
+		t.Errorf("%d reports, at most %d expected", reports, maxReports)
 	}
 	if after := h.AtHand(clerks); after > before/4 {
-		t.Errorf("%d of %d is still at hand", after, before)
+		t.Errorf("%d of %d is still available", after, before)
 	}
 }
 
@@ -123,26 +123,26 @@
 	l := newLedger(100_000)
 	idle, busy := newHolder("router-1", "a"), newHolder("router-2", "b")
 	now := time.Now()
-	idle.spend(90_000, 0) // makes it ask for 90,000
+	idle.spend(90_000, 0) // makes it request 90,000
 	idle.report(l, now)
 	if idle.AtHand(clerks) < 90_000 {
 		t.Fatalf("the idle holder has %d", idle.AtHand(clerks))
 	}
 	busy.spend(60_000, 0)
 	busy.report(l, now)
-	lacking, _ := l.sizer.Lacking("router-1", now)
-	if d := cmp.Diff([]string{string(clerks)}, lacking); d != "" {
-		t.Fatalf("lacking (-want +got):\n%s", d)
+	reclaims, _ := l.allocator.Lacking("router-1", now)
+	if d := cmp.Diff([]string{string(clerks)}, reclaims); d != "" {
+		t.Fatalf("reclaim requests (-want +got):\n%s", d)
 	}
 	if !idle.Touch([]sumachead.WorkspaceID{clerks}) {
-		t.Fatal("the idle holder has nothing to give back")
+		t.Fatal("the idle holder has nothing to return")
 	}
-	idle.report(l, now) // learns that it should give back
-	idle.report(l, now) // gives back
+	idle.report(l, now) // learns that it should return tokens
+	idle.report(l, now) // returns them
 	busy.spend(60_000, 0)
 	busy.report(l, now)
 	if !busy.spend(60_000, 0) {
-		t.Fatalf("still refused; at hand %d, free %d", busy.AtHand(clerks), l.book.Free(clerks))
+		t.Fatalf("still refused; available %d, unallocated %d", busy.AtHand(clerks), l.state.Free(clerks))
 	}
 }
 
@@ -156,7 +156,7 @@
 		h.spend(9_500, 9_500)
 		h.report(l, now)
 	}
-	// 1,000 are left, in two pieces.
+	// 1,000 are left, split between both holders.
 	served := 0
 	for range 6 {
 		for _, h := range []*holder{a, b} {
@@ -169,17 +169,17 @@
 		now = now.Add(50 * time.Millisecond)
 	}
 	if served != 1 {
-		t.Fatalf("%d requests served of the one that fits; at hand %d and %d, free %d", served, a.AtHand(clerks), b.AtHand(clerks), l.book.Free(clerks))
+		t.Fatalf("%d requests served of the one that fits; available %d and %d, unallocated %d", served, a.AtHand(clerks), b.AtHand(clerks), l.state.Free(clerks))
 	}
 }
 
-func TestBudgetExhaustedIsSaidOnlyWhenNothingMayComeBack(t *testing.T) {
+func TestExhaustedOnlyIfNothingCanBeReclaimed(t *testing.T) {
 	tests := []struct {
 		name     string
-		reserved sumachead.Tokens // held for a request under way at another router
+		reserved sumachead.Tokens // held for a request in flight at another router
 		want     sumachead.Reason
 	}{
-		{"under way elsewhere", 80_000, sumachead.ReasonLedgerUnreached},
+		{"in flight elsewhere", 80_000, sumachead.ReasonLedgerUnreached},
 		{"spent elsewhere", 0, sumachead.ReasonBudgetExhausted},
 	}
 	for _, tt := range tests {
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestWhatIsAtHandCountsOnce(t *testing.T) {
+func TestAvailableTokensCountOnce(t *testing.T) {
 	l := newLedger(10_000)
 	now := time.Now()
 	h := newHolder("router-1", "a")
@@ -222,11 +222,11 @@
 	_, err := h.Reserve(context.Background(), clerks, 1_000, patience.Use{}, 0)
 	var f *sumachead.Refusal
 	if !errors.As(err, &f) || f.Reason != sumachead.ReasonBudgetExhausted {
-		t.Fatalf("998 are left and at hand, 1,000 were asked for: %v", err)
+		t.Fatalf("998 are left and available, 1,000 were requested: %v", err)
 	}
 }
 
-func TestNewLifeClosesTheOldOne(t *testing.T) {
+func TestNewIncarnationClosesPrevious(t *testing.T) {
 	l := newLedger(100_000)
 	now := time.Now()
 	old := newHolder("router-1", "a")
@@ -234,15 +234,15 @@
 	old.report(l, now)
 	fresh := newHolder("router-1", "b")
 	fresh.report(l, now)
-	if free := l.book.Free(clerks); free > 40_000 {
-		t.Fatalf("free %d: what the old life held does not count as spent", free)
+	if free := l.state.Free(clerks); free > 40_000 {
+		t.Fatalf("unallocated %d: tokens of the previous incarnation do not count as spent", free)
 	}
 	old.spend(1, 1)
 	if !old.report(l, now) {
-		t.Fatal("the old life was not told that it is closed")
+		t.Fatal("the previous incarnation was not told that it is closed")
 	}
 	if old.AtHand(clerks) != 0 {
-		t.Fatal("a closed life can still spend")
+		t.Fatal("a closed incarnation can still spend")
 	}
 }
 
@@ -256,9 +256,9 @@
 	if _, err := h.Reserve(context.Background(), clerks, 5_000, patience.Use{}, 0); err != nil {
 		t.Fatal(err)
 	}
-	l.book.Apply(&wire.EscrowGrant{Report: h.Report(now, true)})
-	if free := l.book.Free(clerks); free != 85_000 {
-		t.Fatalf("free %d, want 85000: 10000 spent and 5000 still under way", free)
+	l.state.Apply(&wire.EscrowGrant{Report: h.Report(now, true)})
+	if free := l.state.Free(clerks); free != 85_000 {
+		t.Fatalf("unallocated %d, want 85000: 10000 spent and 5000 still in flight", free)
 	}
 }
 
@@ -268,12 +268,12 @@
 	h := newHolder("router-1", "a")
 	h.spend(60_000, 0)
 	h.report(l, now)
-	l.book.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: 10_000})
-	before := l.book.Holdings(clerks)[Holder{"router-1", "a"}].Granted
+	l.state.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: 10_000})
+	before := l.state.Holdings(clerks)[Holder{"router-1", "a"}].Granted
 	h.spend(90_000, 0)
 	h.report(l, now)
-	if after := l.book.Holdings(clerks)[Holder{"router-1", "a"}].Granted; after != before {
-		t.Fatalf("granted %d more although nothing is free", after-before)
+	if after := l.state.Holdings(clerks)[Holder{"router-1", "a"}].Granted; after != before {
+		t.Fatalf("granted %d more although nothing is unallocated", after-before)
 	}
 }
 
@@ -286,17 +286,17 @@
 		h.report(l, now)
 	}
 	restored := NewBook()
-	restored.Restore(l.book.Snapshot())
-	if d := cmp.Diff(l.book.Snapshot(), restored.Snapshot(), cmp.Comparer(sameAccount)); d != "" {
+	restored.Restore(l.state.Snapshot())
+	if d := cmp.Diff(l.state.Snapshot(), restored.Snapshot(), cmp.Comparer(sameAccount)); d != "" {
 		t.Fatalf("(-want +got):\n%s", d)
 	}
 }
 
 func sameAccount(a, b *wire.AccountState) bool { return a.String() == b.String() }
 
-// TestNeverOverspent plays random mixes of spending, reports that are lost on
-// either way or come twice, crashes and changes of the total, and holds what was
-// handed out against the highest total.
+// TestNeverOverspent runs random sequences of spending, reports that are lost in either
+// direction or duplicated, crashes and planned stops, and checks that the tokens handed out
+// never exceed the total.
 func TestNeverOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const total = 1000
@@ -322,16 +322,16 @@
 				}
 			case 3, 4:
 				h.report(l, now)
-			case 5: // the reply is lost, and the report comes again
+			case 5: // the reply is lost, and the report is sent again
 				if r := h.Report(now, false); r != nil {
-					l.take(r, now)
-					l.take(r, now)
+					l.apply(r, now)
+					l.apply(r, now)
 					h.Unsent(r)
 				}
 			case 6: // crash
 				holders[i] = fresh(i)
 			case 7: // planned stop
-				l.book.Apply(&wire.EscrowGrant{Report: h.Report(now, true)})
+				l.state.Apply(&wire.EscrowGrant{Report: h.Report(now, true)})
 				holders[i] = fresh(i)
 			}
 			if handedOut > total {
--- a/internal/escrow/purse.go
+++ b/internal/escrow/purse.go
@@ -9,104 +9,107 @@
 	"sumachead/api/wire"
 )
 
-// rateMemory is the time constant by which a wallet forgets demand: long enough
-// to smooth over single large requests.
-const rateMemory = 4 * time.Second
+// rateTimeConstant is the time constant of the demand average, long enough to smooth out single
+// large requests.
+const rateTimeConstant = 4 * time.Second
 
-// shortFor is how long it is believed that requests wait in vain when none has waited
-// since: some reports.
-const shortFor = 2 * time.Second
+// shortTimeout is how long the balance counts as short after a request last had to wait: a few
+// report intervals.
+const shortTimeout = 2 * time.Second
 
-// purse is a holder's money of one workspace.
-type purse struct {
+// balance is a holder's tokens of one workspace.
+type balance struct {
 	// granted, returned and spent are totals since the holder started.
 	granted  sumachead.Tokens
 	returned sumachead.Tokens
 	spent    sumachead.Tokens
-	// reserved is the sum of the bounds of requests under way.
+	// reserved is the sum of the bounds of requests in flight.
 	reserved sumachead.Tokens
-	// waiting are the bounds of requests that wait for money.
+	// waiting are the bounds of requests that wait for tokens.
 	waiting []sumachead.Tokens
-	// left are those of requests that gave up waiting since the last report: they
-	// come back.
-	left []sumachead.Tokens
-	// asked is the smallest bound among waiting and left as of the last report;
-	// what was at hand then, if that was more.
-	asked sumachead.Tokens
-	// shortSince is since when no request of at least shortBound that waited was
-	// admitted, and shortAt when one last had to wait; zero while none waits in vain.
+	// abandoned are the bounds of requests that stopped waiting since the last report; their
+	// callers are expected to retry.
+	abandoned []sumachead.Tokens
+	// requestedBound is the smallest bound among waiting and abandoned requests as of the last
+	// report, or what was available then if that was more.
+	requestedBound sumachead.Tokens
+	// shortSince is when the first request that is still short began to wait: since then no
+	// waiting request of at least shortBound has been admitted. shortAt is when a request last
+	// had to wait. shortSince is zero while no request is short.
 	shortSince time.Time
 	shortAt    time.Time
 	shortBound sumachead.Tokens
-	// rate is demand in tokens a second as of rateAt.
-	rate   float64
-	rateAt time.Time
-	// low is the amount at hand below which a report is due at once.
-	low sumachead.Tokens
-	// dirty: something changed since the last report.
+	// rate is the demand in tokens per second as of rateUpdatedAt.
+	rate          float64
+	rateUpdatedAt time.Time
+	// lowWatermark is the available amount below which a report is requested at once.
+	lowWatermark sumachead.Tokens
+	// dirty is set if something changed since the last report.
 	dirty bool
-	// asking: requests lacked something as of the last report.
-	asking bool
-	// heldTo is until when what is lacked is not asked for by a report of its own: the ledger
-	// could not grant it, and others have to give back first. Other workspaces are not held up.
-	heldTo time.Time
-	// toAsk: a report is to be asked for then.
-	toAsk bool
-	// ends is what the ledger has said lately of the end of the budget.
-	ends ends
+	// requesting is set if requests were short as of the last report.
+	requesting bool
+	// requestAfter is the time before which the shortfall does not trigger a report of its own:
+	// the ledger could not grant it, and other holders have to return tokens first. Other
+	// workspaces are not delayed.
+	requestAfter time.Time
+	// reportScheduled is set if a report will be requested at requestAfter.
+	reportScheduled bool
+	// exhaustion keeps the ledger's recent replies that the budget is exhausted.
+	exhaustion exhaustion
 }
 
-// atHand returns what may be reserved.
-func (p *purse) atHand() sumachead.Tokens { return p.granted - p.returned - p.spent - p.reserved }
+// available returns what may be reserved.
+func (p *balance) available() sumachead.Tokens { return p.granted - p.returned - p.spent - p.reserved }
 
-// noteShort notes that a request has to wait.
-func (p *purse) noteShort(bound sumachead.Tokens, now time.Time) {
-	if p.shortSince.IsZero() || now.Sub(p.shortAt) > shortFor {
+// recordShort records that a request has to wait.
+func (p *balance) recordShort(bound sumachead.Tokens, now time.Time) {
+	if p.shortSince.IsZero() || now.Sub(p.shortAt) > shortTimeout {
 		p.shortSince, p.shortBound = now, bound
 	}
 	p.shortAt, p.shortBound = now, min(p.shortBound, bound)
 }
 
-// noteAdmitted notes that a request is admitted.
-func (p *purse) noteAdmitted(bound sumachead.Tokens) {
+// recordAdmitted records that a request is admitted.
+func (p *balance) recordAdmitted(bound sumachead.Tokens) {
 	if bound >= p.shortBound {
 		p.shortSince = time.Time{}
 	}
 }
 
-// lacks returns what the smallest waiting request and all together lack.
-func (p *purse) lacks() (needed, wanted sumachead.Tokens) {
-	all := slices.Concat(p.waiting, p.left)
+// shortfall returns how much the smallest request is short of, and how much all requests
+// together are.
+func (p *balance) shortfall() (needed, wanted sumachead.Tokens) {
+	all := slices.Concat(p.waiting, p.abandoned)
 	if len(all) == 0 {
 		return 0, 0
 	}
 	for _, b := range all {
 		wanted += b
 	}
-	hand := p.atHand()
-	return max(slices.Min(all)-hand, 0), max(wanted-hand, 0)
+	available := p.available()
+	return max(slices.Min(all)-available, 0), max(wanted-available, 0)
 }
 
-// decay brings the rate up to now and adds an amount to it.
-func (p *purse) decay(now time.Time, amount sumachead.Tokens) {
-	if !p.rateAt.IsZero() {
-		p.rate *= math.Exp(-now.Sub(p.rateAt).Seconds() / rateMemory.Seconds())
+// updateRate decays the rate to now and adds an amount to it.
+func (p *balance) updateRate(now time.Time, amount sumachead.Tokens) {
+	if !p.rateUpdatedAt.IsZero() {
+		p.rate *= math.Exp(-now.Sub(p.rateUpdatedAt).Seconds() / rateTimeConstant.Seconds())
 	}
-	p.rateAt = now
-	p.rate += float64(amount) / rateMemory.Seconds()
+	p.rateUpdatedAt = now
+	p.rate += float64(amount) / rateTimeConstant.Seconds()
 }
 
-// position is what a report tells of the purse, which is then no longer dirty.
-func (p *purse) position(id sumachead.WorkspaceID, now time.Time, closing bool) *wire.EscrowPosition {
-	p.decay(now, 0)
+// reportPosition returns the position for a report and clears the dirty flag.
+func (p *balance) reportPosition(id sumachead.WorkspaceID, now time.Time, closing bool) *wire.EscrowPosition {
+	p.updateRate(now, 0)
 	p.dirty = false
-	needed, wanted := p.lacks()
-	p.asked = needed + p.atHand()
-	p.asking = needed > 0
-	p.left = p.left[:0]
+	needed, wanted := p.shortfall()
+	p.requestedBound = needed + p.available()
+	p.requesting = needed > 0
+	p.abandoned = p.abandoned[:0]
 	spent := p.spent
 	if closing {
-		spent += p.reserved // nobody will tell the bill of what still runs
+		spent += p.reserved // the bills of requests still in flight will not be reported
 	}
 	return &wire.EscrowPosition{
 		Workspace: string(id), Spent: int64(spent), Returned: int64(p.returned),
--- a/internal/escrow/reservation.go
+++ b/internal/escrow/reservation.go
@@ -11,8 +11,7 @@
 	"sumachead/internal/patience"
 )
 
-// Reservation is the upper bound of one request's cost, held until its bill is
-// known.
+// Reservation holds the upper bound of one request's cost until its bill is known.
 type Reservation struct {
 	// wallet is nil once the reservation is settled.
 	wallet    *Wallet
@@ -21,17 +20,17 @@
 	bound     sumachead.Tokens
 }
 
-// Reserve holds bound of a workspace's money. When there is too little at hand it
-// asks the ledger, and waits while what is expected of it is of use to the caller, or
-// until ctx ends or the ledger says that the budget is used up. The urgency is the
-// caller's rank among those who come back. The error is a [*sumachead.Refusal].
+// Reserve reserves bound of a workspace's tokens. If too little is available, it asks the
+// ledger and waits while the estimated grant would still be useful to the caller, or until ctx
+// ends or the ledger says that the budget is exhausted. The urgency ranks the caller among
+// those told to retry. The error is a [*sumachead.Refusal].
 func (w *Wallet) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Use, urgency uint32) (*Reservation, error) {
 	begun := time.Now()
-	r, a, changed := w.try(id, bound, begun, true)
+	r, a, changed := w.attempt(id, bound, begun, true)
 	if a == short {
-		defer func() { w.leave(id, bound, a == admitted) }()
+		defer func() { w.stopWaiting(id, bound, a == admitted) }()
 	}
-	p := w.prospect(id, begun)
+	p := w.grantEstimate(id, begun)
 	for {
 		switch a {
 		case admitted:
@@ -40,120 +39,119 @@
 			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonBudgetExhausted, "the workspace's budget does not hold the request", time.Time{})
 		}
 		now := time.Now()
-		again, wait := patience.Wait(p, u, now)
+		retryAt, wait := patience.Wait(p, u, now)
 		if !wait {
 			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonLedgerUnreached, "too little escrow at hand", patience.ComeBack(p, u, urgency, now))
 		}
-		if !loop.Pause(ctx, changed, again) {
+		if !loop.Pause(ctx, changed, retryAt) {
 			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonDeadlinePassed, "the caller has gone", time.Time{})
 		}
-		r, a, changed = w.try(id, bound, time.Now(), false)
+		r, a, changed = w.attempt(id, bound, time.Now(), false)
 	}
 }
 
-// Try holds bound of a workspace's money if there is enough at hand; otherwise it returns
-// nil, and nothing is noted.
+// TryReserve reserves bound of a workspace's tokens if that much is available. Otherwise it
+// returns nil and records nothing.
 func (w *Wallet) Try(id sumachead.WorkspaceID, bound sumachead.Tokens) *Reservation {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.purses[id]
-	if p == nil || p.atHand() < bound {
+	p := w.balances[id]
+	if p == nil || p.available() < bound {
 		return nil
 	}
-	p.decay(now, bound)
+	p.updateRate(now, bound)
 	return w.reserve(p, id, bound)
 }
 
-// Want notes a request for bound of a workspace's money that was not at hand and that does
-// not wait for it, so that the ledger grants for the next ones.
+// RecordDemand records a request for bound of a workspace's tokens that were not available and
+// that it does not wait for, so that the ledger grants tokens for later requests.
 func (w *Wallet) Want(id sumachead.WorkspaceID, bound sumachead.Tokens) {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.purse(id)
-	p.decay(now, bound)
+	p := w.balance(id)
+	p.updateRate(now, bound)
 	p.dirty = true
-	w.ask(p, now)
+	w.scheduleReport(p, now)
 }
 
-// prospect returns that of a workspace's money for a request that asks for it now:
-// requests have lacked some since the first that waited in vain.
-func (w *Wallet) prospect(id sumachead.WorkspaceID, asked time.Time) sumachead.Prospect {
+// grantEstimate estimates when a request that asks for the workspace's tokens now would get
+// them. Requests have been short since the first that waited without success.
+func (w *Wallet) grantEstimate(id sumachead.WorkspaceID, requestedAt time.Time) sumachead.Prospect {
 	w.mu.Lock()
-	since, held := w.purse(id).shortSince, w.purse(id).heldTo
+	since, requestAfter := w.balance(id).shortSince, w.balance(id).requestAfter
 	w.mu.Unlock()
 	if w.Prospect == nil {
 		return patience.AsLong{Since: since}
 	}
-	return w.Prospect(moment.Later(asked, held), since)
+	return w.Prospect(moment.Later(requestedAt, requestAfter), since)
 }
 
-// admission is the outcome of one look at a purse.
+// admission is the outcome of one attempt to reserve from a balance.
 type admission int
 
 const (
 	admitted admission = iota
-	// short: there is too little at hand, and the ledger may have more.
+	// short means that too little is available, but the ledger may have more.
 	short
-	// exhausted: the ledger has said lately that the budget does not hold it.
+	// exhausted means that the ledger recently said that the budget does not cover the request.
 	exhausted
 )
 
-// try looks at a purse once; the first look of a request counts as demand and
-// lets it wait if it is short.
-func (w *Wallet) try(id sumachead.WorkspaceID, bound sumachead.Tokens, now time.Time, first bool) (*Reservation, admission, <-chan struct{}) {
+// attempt tries once to reserve from a balance. The first attempt of a request counts as demand
+// and, if it is short, adds the request to those waiting.
+func (w *Wallet) attempt(id sumachead.WorkspaceID, bound sumachead.Tokens, now time.Time, first bool) (*Reservation, admission, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.purse(id)
+	p := w.balance(id)
 	if first {
-		p.decay(now, bound)
+		p.updateRate(now, bound)
 	}
-	if p.atHand() >= bound {
+	if p.available() >= bound {
 		return w.reserve(p, id, bound), admitted, nil
 	}
-	if p.ends.covers(bound, now) {
+	if p.exhaustion.covers(bound, now) {
 		return nil, exhausted, nil
 	}
 	if first {
 		p.waiting = append(p.waiting, bound)
 	}
-	p.noteShort(bound, now)
+	p.recordShort(bound, now)
 	p.dirty = true
-	w.ask(p, now)
+	w.scheduleReport(p, now)
 	return nil, short, w.changed
 }
 
-// reserve holds a bound. The caller holds mu.
-func (w *Wallet) reserve(p *purse, id sumachead.WorkspaceID, bound sumachead.Tokens) *Reservation {
+// reserve reserves a bound. The caller holds mu.
+func (w *Wallet) reserve(p *balance, id sumachead.WorkspaceID, bound sumachead.Tokens) *Reservation {
 	p.reserved += bound
 	p.dirty = true
-	p.noteAdmitted(bound)
-	if p.atHand() < p.low {
-		p.low = 0 // no more than one such report until the next answer
+	p.recordAdmitted(bound)
+	if p.available() < p.lowWatermark {
+		p.lowWatermark = 0 // at most one such report until the next reply
 		w.Kick()
 	}
 	return &Reservation{w, w.boot, id, bound}
 }
 
-// leave ends a request's waiting.
-func (w *Wallet) leave(id sumachead.WorkspaceID, bound sumachead.Tokens, served bool) {
+// stopWaiting removes a request from those waiting.
+func (w *Wallet) stopWaiting(id sumachead.WorkspaceID, bound sumachead.Tokens, served bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.purse(id)
+	p := w.balance(id)
 	i := slices.Index(p.waiting, bound)
 	if i < 0 {
-		return // the ledger has closed the life that it waited in
+		return // the ledger has closed the incarnation that the request waited in
 	}
 	p.waiting = slices.Delete(p.waiting, i, i+1)
 	if !served {
-		p.left = append(p.left, bound)
+		p.abandoned = append(p.abandoned, bound)
 		p.dirty = true
 	}
 }
 
-// Settle puts the bill in the place of the reservation. The bill is cut to the
-// bound; a second call does nothing.
+// Settle replaces the reservation by the bill, capped at the bound. A second call does nothing.
 func (r *Reservation) Settle(bill sumachead.Tokens) {
 	if r == nil || r.wallet == nil {
 		return
@@ -163,9 +161,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.boot != r.boot {
-		return // the ledger has closed that life and counts all of it as spent
+		return // the ledger has closed that incarnation and counts all its tokens as spent
 	}
-	p := w.purse(r.workspace)
+	p := w.balance(r.workspace)
 	p.reserved -= r.bound
 	p.spent += min(max(bill, 0), r.bound)
 	p.dirty = true
--- a/internal/escrow/shares_test.go
+++ b/internal/escrow/shares_test.go
@@ -7,34 +7,35 @@
 	"sumachead"
 )
 
-// The ways to share budgets among routers that the admission experiment compares.
-
-// share is a way to share budgets.
-type share interface {
-	// reserve holds a bound at a router; false when it has to wait or is refused.
-	reserve(router int, w sumachead.WorkspaceID, bound sumachead.Tokens, now time.Time, reached bool) (settle func(sumachead.Tokens), ok bool)
-	// tick lets reports go while the ledger is reached.
-	tick(now time.Time, reached bool)
-	// kill loses a router's memory.
+// The policies to share budgets among routers that the admission experiment compares.
+
+// sharingPolicy shares budgets among routers.
+type sharingPolicy interface {
+	// reserve reserves a bound at a router. It returns false when the request has to wait or is
+	// refused.
+	reserve(router int, w sumachead.WorkspaceID, bound sumachead.Tokens, now time.Time, reachable bool) (settle func(sumachead.Tokens), ok bool)
+	// tick sends reports while the ledger is reachable.
+	tick(now time.Time, reachable bool)
+	// kill drops a router's in-memory state.
 	kill(router int, now time.Time)
 }
 
-// pots are budgets in fixed amounts; a router draws from its own, and from the rest
-// as much as chunk says when that is short. The ledger counts as lost what a killed
-// router had.
-type pots struct {
-	// total are the whole budgets, and rest what no router has.
-	total map[sumachead.WorkspaceID]sumachead.Tokens
-	rest  map[sumachead.WorkspaceID]sumachead.Tokens
-	own   [trialRouters]map[sumachead.WorkspaceID]sumachead.Tokens
-	chunk func(total, bound sumachead.Tokens) sumachead.Tokens
-	// lives number the routers' lives: what an earlier one had is not given back.
-	lives [trialRouters]int
+// fixedShares gives routers fixed amounts. A router draws from its own, and takes chunk from
+// the unassigned part when that is short. What a killed router held counts as lost.
+type fixedShares struct {
+	// total holds the whole budgets, and unassigned what no router holds.
+	total      map[sumachead.WorkspaceID]sumachead.Tokens
+	unassigned map[sumachead.WorkspaceID]sumachead.Tokens
+	own        [trialRouters]map[sumachead.WorkspaceID]sumachead.Tokens
+	chunk      func(total, bound sumachead.Tokens) sumachead.Tokens
+	// incarnations number the routers' restarts: tokens of an earlier incarnation are not
+	// returned.
+	incarnations [trialRouters]int
 }
 
-// newPots gives a part of each budget to the routers, in equal shares.
-func newPots(totals map[sumachead.WorkspaceID]sumachead.Tokens, atStart float64, chunk func(total, bound sumachead.Tokens) sumachead.Tokens) *pots {
-	p := &pots{rest: make(map[sumachead.WorkspaceID]sumachead.Tokens), chunk: chunk, total: totals}
+// newFixedShares assigns the fraction atStart of each budget to the routers in equal shares.
+func newFixedShares(totals map[sumachead.WorkspaceID]sumachead.Tokens, atStart float64, chunk func(total, bound sumachead.Tokens) sumachead.Tokens) *fixedShares {
+	p := &fixedShares{unassigned: make(map[sumachead.WorkspaceID]sumachead.Tokens), chunk: chunk, total: totals}
 	for i := range p.own {
 		p.own[i] = make(map[sumachead.WorkspaceID]sumachead.Tokens)
 	}
@@ -43,53 +44,53 @@
 		for i := range p.own {
 			p.own[i][w] = part
 		}
-		p.rest[w] = total - part*trialRouters
+		p.unassigned[w] = total - part*trialRouters
 	}
 	return p
 }
 
-func (p *pots) reserve(router int, w sumachead.WorkspaceID, bound sumachead.Tokens, _ time.Time, reached bool) (func(sumachead.Tokens), bool) {
+func (p *fixedShares) reserve(router int, w sumachead.WorkspaceID, bound sumachead.Tokens, _ time.Time, reachable bool) (func(sumachead.Tokens), bool) {
 	own := p.own[router]
-	if own[w] < bound && reached {
-		take := min(max(p.chunk(p.total[w], bound), 0), p.rest[w])
+	if own[w] < bound && reachable {
+		take := min(max(p.chunk(p.total[w], bound), 0), p.unassigned[w])
 		own[w] += take
-		p.rest[w] -= take
+		p.unassigned[w] -= take
 	}
 	if own[w] < bound {
 		return nil, false
 	}
 	own[w] -= bound
-	life := p.lives[router]
+	incarnation := p.incarnations[router]
 	return func(bill sumachead.Tokens) {
-		if p.lives[router] == life {
+		if p.incarnations[router] == incarnation {
 			p.own[router][w] += bound - bill
 		}
 	}, true
 }
 
-func (p *pots) tick(time.Time, bool) {}
+func (p *fixedShares) tick(time.Time, bool) {}
 
-func (p *pots) kill(router int, _ time.Time) {
+func (p *fixedShares) kill(router int, _ time.Time) {
 	p.own[router] = make(map[sumachead.WorkspaceID]sumachead.Tokens)
-	p.lives[router]++
+	p.incarnations[router]++
 }
 
-// byDemand is what the product does.
-type byDemand struct {
-	ledger  *ledger
+// demandBased is the policy of the real ledger, allocator and wallets.
+type demandBased struct {
+	ledger  *testLedger
 	wallets [trialRouters]*Wallet
-	// boots number the routers' lives.
+	// boots number the routers' incarnations.
 	boots [trialRouters]int
-	// told is when a router last reported; kicked: it has to report with the next
-	// tick.
-	told   [trialRouters]time.Time
-	kicked [trialRouters]bool
-	names  []sumachead.WorkspaceID
+	// reportedAt is when a router last reported. reportRequested is set if it has to report
+	// with the next tick.
+	reportedAt      [trialRouters]time.Time
+	reportRequested [trialRouters]bool
+	names           []sumachead.WorkspaceID
 }
 
-func newByDemand(totals map[sumachead.WorkspaceID]sumachead.Tokens) *byDemand {
-	d := &byDemand{ledger: &ledger{NewBook(), &Sizer{}}}
-	d.ledger.book.SetTotals(totals)
+func newDemandBased(totals map[sumachead.WorkspaceID]sumachead.Tokens) *demandBased {
+	d := &demandBased{ledger: &testLedger{NewBook(), &Sizer{}}}
+	d.ledger.state.SetTotals(totals)
 	for w := range totals {
 		d.names = append(d.names, w)
 	}
@@ -99,66 +100,66 @@
 	return d
 }
 
-// open starts another life of a router.
-func (d *byDemand) open(i int) {
+// open starts a new incarnation of a router.
+func (d *demandBased) open(i int) {
 	d.boots[i]++
-	d.wallets[i] = &Wallet{Node: sumachead.NodeID(fmt.Sprint("r", i)), Kick: func() { d.kicked[i] = true }}
+	d.wallets[i] = &Wallet{Node: sumachead.NodeID(fmt.Sprint("r", i)), Kick: func() { d.reportRequested[i] = true }}
 	d.wallets[i].Open(sumachead.BootID(fmt.Sprint(d.boots[i])))
 	for _, w := range d.names {
-		d.wallets[i].purse(w)
+		d.wallets[i].balance(w)
 	}
 }
 
-func (d *byDemand) reserve(router int, w sumachead.WorkspaceID, bound sumachead.Tokens, now time.Time, _ bool) (func(sumachead.Tokens), bool) {
-	r, a, _ := d.wallets[router].try(w, bound, now, true)
+func (d *demandBased) reserve(router int, w sumachead.WorkspaceID, bound sumachead.Tokens, now time.Time, _ bool) (func(sumachead.Tokens), bool) {
+	r, a, _ := d.wallets[router].attempt(w, bound, now, true)
 	if a == admitted {
 		return r.Settle, true
 	}
 	if a == short {
-		d.kicked[router] = true
-		d.wallets[router].leave(w, bound, false) // it tries again with the next tick
+		d.reportRequested[router] = true
+		d.wallets[router].stopWaiting(w, bound, false) // it tries again with the next tick
 	}
 	return nil, false
 }
 
-func (d *byDemand) tick(now time.Time, reached bool) {
-	if !reached {
+func (d *demandBased) tick(now time.Time, reachable bool) {
+	if !reachable {
 		return
 	}
 	for i, w := range d.wallets {
-		lacking, _ := d.ledger.sizer.Lacking(w.Node, now)
+		reclaims, _ := d.ledger.allocator.Lacking(w.Node, now)
 		var ids []sumachead.WorkspaceID
-		for _, id := range lacking {
+		for _, id := range reclaims {
 			ids = append(ids, sumachead.WorkspaceID(id))
 		}
 		if w.Touch(ids) {
-			d.kicked[i] = true
+			d.reportRequested[i] = true
 		}
-		if !d.kicked[i] && now.Sub(d.told[i]) < trialReport {
+		if !d.reportRequested[i] && now.Sub(d.reportedAt[i]) < trialReportInterval {
 			continue
 		}
-		d.kicked[i], d.told[i] = false, now
+		d.reportRequested[i], d.reportedAt[i] = false, now
 		if r := w.Report(now, false); r != nil {
 			boot := sumachead.BootID(r.GetBoot())
-			w.Take(d.ledger.take(r, now), boot, boot+"'", now)
+			w.Take(d.ledger.apply(r, now), boot, boot+"'", now)
 		}
 	}
 }
 
-func (d *byDemand) kill(router int, _ time.Time) { d.open(router) }
+func (d *demandBased) kill(router int, _ time.Time) { d.open(router) }
 
-// trialPolicy is a policy by its name.
+// trialPolicy is a policy with its name.
 type trialPolicy struct {
 	name string
-	share
+	sharingPolicy
 }
 
-// trialPolicies are the policies that a situation is played with, each anew.
-func trialPolicies(t trial) []trialPolicy {
+// trialPolicies returns new instances of the policies for a scenario.
+func trialPolicies(t scenario) []trialPolicy {
 	return []trialPolicy{
-		{"demand", newByDemand(t.totals())},
-		{"equal split", newPots(t.totals(), 1, func(_, _ sumachead.Tokens) sumachead.Tokens { return 0 })},
-		{"central", newPots(t.totals(), 0, func(_, bound sumachead.Tokens) sumachead.Tokens { return bound })},
-		{"leases of a 32nd", newPots(t.totals(), 0, func(total, bound sumachead.Tokens) sumachead.Tokens { return max(total/32, bound) })},
+		{"demand", newDemandBased(t.totals())},
+		{"equal split", newFixedShares(t.totals(), 1, func(_, _ sumachead.Tokens) sumachead.Tokens { return 0 })},
+		{"central", newFixedShares(t.totals(), 0, func(_, bound sumachead.Tokens) sumachead.Tokens { return bound })},
+		{"leases of a 32nd", newFixedShares(t.totals(), 0, func(total, bound sumachead.Tokens) sumachead.Tokens { return max(total/32, bound) })},
 	}
 }
--- a/internal/escrow/sizer.go
+++ b/internal/escrow/sizer.go
@@ -8,101 +8,98 @@
 	"sumachead/api/wire"
 )
 
-// NoWish stands in an answer that does not ask for anything back.
+// KeepAll is the value of Keep in an answer that asks for nothing back.
 const NoWish = -1
 
 const (
-	// liveFor is how long a holder that has not reported counts as alive: some
-	// reports.
-	liveFor = 4 * time.Second
-	// outPart is the part of what is free of a budget, one in so many, that all
-	// holders together should have at hand beyond what requests under way need,
-	// where it lasts for a short time only: it is lost when they crash. A report
-	// takes some milliseconds, so that little is enough while the ledger is reached.
-	// docs/DESIGN.md has the parts that were weighed.
-	outPart = 32
-	// ampleLasts is how long, at the rate that all holders report, a budget would
-	// have to last for all of what is free to be out. The part that is out is the
-	// time for which a budget lasts, over ampleLasts, and at least one part in
-	// outPart and at most one in amplePart: what a crash loses of a budget that
-	// lasts matters less, and a cut would cost it more. From the admission experiment
-	// (TestRoutersAdmission): a budget that lasts three minutes bridges cuts of eight
-	// seconds.
-	ampleLasts = 2000 * time.Second
-	amplePart  = 4
-	// longestHold bounds for how long, at the rate it reports, a holder should be
-	// able to go on without the ledger: the cuts that the users tell of.
-	longestHold = 30 * time.Second
-	// lowPart is the part of what it should have at hand, in percent, below which
-	// a holder is filled up.
-	lowPart = 70
-	// slack is how much, in percent of what it should have at hand, a holder may
-	// have before it is asked to give back what is above that: a holder whose demand
-	// falls away then reports a few times, not with each commit.
-	slack = 200
+	// liveTimeout is how long a holder counts as live after its last report: several report
+	// intervals.
+	liveTimeout = 4 * time.Second
+	// minOutstandingDivisor is the minimum fraction of the unallocated budget, one in this
+	// many, that all holders together should have available beyond what requests in flight
+	// need. It applies to a budget that lasts only a short time. The fraction is lost when
+	// holders crash, and a report takes only milliseconds, so a small one is enough while the
+	// ledger is reachable. docs/DESIGN.md compares the alternatives.
+	minOutstandingDivisor = 32
+	// ampleDuration is how long a budget would have to last, at the rate that all holders
+	// report, for all of its unallocated part to be outstanding. The outstanding fraction is
+	// the budget's duration over ampleDuration, at least 1/minOutstandingDivisor and at most
+	// 1/maxOutstandingDivisor: for a budget that lasts, what a crash loses matters less, and an
+	// outage of the ledger would cost more. With these values a budget that lasts three minutes
+	// bridges outages of eight seconds (TestRoutersAdmission).
+	ampleDuration         = 2000 * time.Second
+	maxOutstandingDivisor = 4
+	// maxOutageDuration caps how long, at its reported rate, a holder should be able to go on
+	// without the ledger. It covers the outages that users report.
+	maxOutageDuration = 30 * time.Second
+	// refillPercent is the percentage of its target below which a holder is refilled.
+	refillPercent = 70
+	// slackPercent is how much a holder may have, as a percentage of its target, before it is
+	// asked to return the excess. It lets a holder whose demand drops report a few times
+	// instead of with each commit.
+	slackPercent = 200
 )
 
 const (
-	// againLeast is after what time a holder asks again for what it lacks: a few reports of
-	// others, which have to give back first. againEach is added for each holder that lacks
-	// something, so that the ledger is asked as often whatever their number.
-	againLeast = 40 * time.Millisecond
-	againEach  = 5 * time.Millisecond
+	// minRetryInterval is the delay before a short holder asks again: a few reports of other
+	// holders, which have to return tokens first. retryIntervalPerHolder is added for each
+	// short holder, so that the load on the ledger does not depend on their number.
+	minRetryInterval       = 40 * time.Millisecond
+	retryIntervalPerHolder = 5 * time.Millisecond
 )
 
-// wantFor is for how long other holders are asked to give back for one that
-// lacks something: a few reports.
-const wantFor = 2 * time.Second
+// shortfallTimeout is how long other holders are asked to return tokens for a short holder: a
+// few report intervals.
+const shortfallTimeout = 2 * time.Second
 
-// gatherBelow is how many times what is lacked may be left for all holders to be
-// asked for all that they do not use: what is left is then in pieces that are too
-// small for anybody.
-const gatherBelow = 8
+// reclaimAllFactor times the shortfall is the remaining budget below which holders are asked to
+// return everything that they do not use: what remains is then split into pieces too small for
+// any request.
+const reclaimAllFactor = 8
 
-// want is what a holder lacked that could not be granted.
-type want struct {
+// shortfall is an amount that a holder needed and that could not be granted.
+type shortfall struct {
 	by     Holder
 	amount sumachead.Tokens
 	at     time.Time
 }
 
-// Sizer decides what each holder should have at hand, by what is left and by
+// Allocator decides how much each holder should have available, by the remaining budget and by
 // demand. It is soft state of the ledger's leader, and safe for concurrent use.
 type Sizer struct {
 	mu      sync.Mutex // guards the fields below
 	holders map[Holder]*holderDemand
-	// rates are the sums of all holders' rates.
-	rates map[sumachead.WorkspaceID]sumachead.Tokens
-	// wants are what holders lack, one holder for each workspace.
-	wants map[sumachead.WorkspaceID]want
-	// lackers are the holders that lacked something, by when they last said so.
-	lackers map[Holder]time.Time
-	// asked is what nodes have been asked to give back.
-	asked map[sumachead.NodeID]*asked
+	// totalRates are the sums of all holders' rates.
+	totalRates map[sumachead.WorkspaceID]sumachead.Tokens
+	// shortfalls holds at most one shortfall for each workspace.
+	shortfalls map[sumachead.WorkspaceID]shortfall
+	// shortHolders are the holders that were short, with the time they last reported it.
+	shortHolders map[Holder]time.Time
+	// reclaims is what nodes have been asked to return.
+	reclaims map[sumachead.NodeID]*reclaimState
 }
 
-// holderDemand is what one holder has told of its demand.
+// holderDemand is the demand that one holder reported.
 type holderDemand struct {
-	// seen is when it last reported.
-	seen time.Time
-	// rates is what the holder last said, in tokens a second.
+	lastReport time.Time
+	// rates are the last reported rates, in tokens per second.
 	rates map[sumachead.WorkspaceID]sumachead.Tokens
 }
 
-// Note takes in what a holder reports.
+// RecordReport records a holder's demand.
 func (s *Sizer) Note(r *wire.EscrowReport, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.holders == nil {
 		s.holders = make(map[Holder]*holderDemand)
-		s.wants = make(map[sumachead.WorkspaceID]want)
-		s.rates = make(map[sumachead.WorkspaceID]sumachead.Tokens)
-		s.lackers = make(map[Holder]time.Time)
+		s.shortfalls = make(map[sumachead.WorkspaceID]shortfall)
+		s.totalRates = make(map[sumachead.WorkspaceID]sumachead.Tokens)
+		s.shortHolders = make(map[Holder]time.Time)
 	}
 	h := holderOf(r)
 	for other, d := range s.holders {
-		if now.Sub(d.seen) > liveFor || (other.Node == h.Node && other != h) {
-			s.forget(other)
+		if now.Sub(d.lastReport) > liveTimeout || (other.Node == h.Node && other != h) {
+			s.removeHolder(other)
 		}
 	}
 	d := s.holders[h]
@@ -110,139 +107,139 @@
 		d = &holderDemand{rates: make(map[sumachead.WorkspaceID]sumachead.Tokens)}
 		s.holders[h] = d
 	}
-	d.seen = now
+	d.lastReport = now
 	for _, p := range r.GetPositions() {
 		w, rate := sumachead.WorkspaceID(p.GetWorkspace()), sumachead.Tokens(p.GetRate())
-		s.rates[w] += rate - d.rates[w]
+		s.totalRates[w] += rate - d.rates[w]
 		d.rates[w] = rate
 	}
 }
 
-// forget takes a holder's demand off the sums. The caller holds mu.
-func (s *Sizer) forget(h Holder) {
+// removeHolder subtracts a holder's demand from the sums. The caller holds mu.
+func (s *Sizer) removeHolder(h Holder) {
 	for w, rate := range s.holders[h].rates {
-		s.rates[w] -= rate
+		s.totalRates[w] -= rate
 	}
 	delete(s.holders, h)
 }
 
-// live reports whether a holder has reported lately. The caller holds mu.
-func (s *Sizer) live(h Holder) bool { return s.holders[h] != nil }
+// isLive reports whether a holder has reported recently. The caller holds mu.
+func (s *Sizer) isLive(h Holder) bool { return s.holders[h] != nil }
 
-// Size returns what to grant on each position of a report, and the answers'
-// wishes, by the book as it stands.
+// Allocate returns the grant for each position of a report, and advice for the answers: how
+// much to keep, and whether the budget is exhausted.
 func (s *Sizer) Size(b *Book, r *wire.EscrowReport, now time.Time) (grants []int64, advice []*wire.EscrowAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := holderOf(r)
 	for _, p := range r.GetPositions() {
-		grant, a := s.sizeOne(b, h, p, now)
+		grant, a := s.allocatePosition(b, h, p, now)
 		grants = append(grants, int64(grant))
 		advice = append(advice, a)
 	}
 	return grants, advice
 }
 
-// sizeOne decides on one position. The caller holds mu.
-func (s *Sizer) sizeOne(b *Book, h Holder, p *wire.EscrowPosition, now time.Time) (sumachead.Tokens, *wire.EscrowAnswer) {
+// allocatePosition decides on one position. The caller holds mu.
+func (s *Sizer) allocatePosition(b *Book, h Holder, p *wire.EscrowPosition, now time.Time) (sumachead.Tokens, *wire.EscrowAnswer) {
 	w := sumachead.WorkspaceID(p.GetWorkspace())
 	a := &wire.EscrowAnswer{Workspace: p.GetWorkspace(), Keep: NoWish}
-	x := b.Holdings(w)[h].reported(p)
-	atHand := x.Out() - x.Spent - sumachead.Tokens(p.GetReserved())
-	hold := s.hold(b, w, h)
-	free := b.Free(w)
+	x := b.Holdings(w)[h].withReport(p)
+	available := x.Outstanding() - x.Spent - sumachead.Tokens(p.GetReserved())
+	target := s.targetAvailable(b, w, h)
+	unallocated := b.Free(w)
 	var grant sumachead.Tokens
-	if atHand*100 < hold*lowPart {
-		grant = min(hold-atHand, free)
+	if available*100 < target*refillPercent {
+		grant = min(target-available, unallocated)
 	}
 	if need := sumachead.Tokens(p.GetNeeded()); need > 0 {
-		grant = max(grant, min(max(need, sumachead.Tokens(p.GetWanted())), free))
-		a.Exhausted = free < need && s.remaining(b, w) < need+max(atHand, 0)
-		s.noteWant(b, w, want{by: h, amount: need, at: now}, free)
+		grant = max(grant, min(max(need, sumachead.Tokens(p.GetWanted())), unallocated))
+		a.Exhausted = unallocated < need && s.remaining(b, w) < need+max(available, 0)
+		s.recordShortfall(b, w, shortfall{by: h, amount: need, at: now}, unallocated)
 		if grant < need {
-			s.lackers[h] = now
+			s.shortHolders[h] = now
 		}
 	}
-	if keep, above := s.keep(b, w, h, hold, now); keep >= 0 && atHand > above && grant <= 0 {
+	if keep, above := s.returnTarget(b, w, h, target, now); keep >= 0 && available > above && grant <= 0 {
 		a.Keep = int64(keep)
 	}
 	return max(grant, 0), a
 }
 
-// noteWant remembers what a holder lacks, until it can be granted. The caller
-// holds mu.
-func (s *Sizer) noteWant(b *Book, w sumachead.WorkspaceID, n want, free sumachead.Tokens) {
-	if free >= n.amount {
-		delete(s.wants, w)
+// recordShortfall records what a holder is short of until it can be granted. The caller holds
+// mu.
+func (s *Sizer) recordShortfall(b *Book, w sumachead.WorkspaceID, n shortfall, unallocated sumachead.Tokens) {
+	if unallocated >= n.amount {
+		delete(s.shortfalls, w)
 		return
 	}
-	old, ok := s.wants[w]
-	if ok && old.by != n.by && n.at.Sub(old.at) <= wantFor {
-		return // who came first is served first: two that lack must not keep each other short
+	old, ok := s.shortfalls[w]
+	if ok && old.by != n.by && n.at.Sub(old.at) <= shortfallTimeout {
+		return // first come, first served: two short holders must not keep each other short
 	}
-	s.wants[w] = n
-	s.askOthers(b, w, n.by, n.at)
+	s.shortfalls[w] = n
+	s.reclaimFromOthers(b, w, n.by, n.at)
 }
 
-// Again returns after what time a holder that lacks something should ask again: the more there
-// are that do, the later. How many there are that lack nothing does not matter.
+// RetryDelay returns the delay after which a short holder should ask again. It grows with the
+// number of short holders; other holders do not count.
 func (s *Sizer) Again(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for h, at := range s.lackers {
-		if now.Sub(at) > wantFor {
-			delete(s.lackers, h)
+	for h, at := range s.shortHolders {
+		if now.Sub(at) > shortfallTimeout {
+			delete(s.shortHolders, h)
 		}
 	}
-	return againLeast + againEach*time.Duration(len(s.lackers))
+	return minRetryInterval + retryIntervalPerHolder*time.Duration(len(s.shortHolders))
 }
 
-// Unmet reports whether a position lacks more than was granted in its answer.
+// Unmet reports whether a position needs more than its answer granted.
 func Unmet(p *wire.EscrowPosition, a *wire.EscrowAnswer) bool {
 	return p.GetNeeded() > a.GetGranted()-p.GetGranted()
 }
 
-// keep returns what a holder should keep at hand when it has more than above, and
-// give back the rest; NoWish when it need not give back anything. The caller holds mu.
-func (s *Sizer) keep(b *Book, w sumachead.WorkspaceID, h Holder, hold sumachead.Tokens, now time.Time) (keep, above sumachead.Tokens) {
-	n, ok := s.wants[w]
+// returnTarget returns how much a holder that has more than above should keep, returning the
+// rest; keep is KeepAll when it need not return anything. The caller holds mu.
+func (s *Sizer) returnTarget(b *Book, w sumachead.WorkspaceID, h Holder, target sumachead.Tokens, now time.Time) (keep, above sumachead.Tokens) {
+	n, ok := s.shortfalls[w]
 	switch {
-	case ok && n.by == h && now.Sub(n.at) <= wantFor:
+	case ok && n.by == h && now.Sub(n.at) <= shortfallTimeout:
 		return NoWish, 0
-	case !ok || now.Sub(n.at) > wantFor:
-		return hold, hold * slack / 100
-	case s.remaining(b, w) < gatherBelow*n.amount:
+	case !ok || now.Sub(n.at) > shortfallTimeout:
+		return target, target * slackPercent / 100
+	case s.remaining(b, w) < reclaimAllFactor*n.amount:
 		return 0, 0
 	}
-	return hold, hold
+	return target, target
 }
 
-// hold returns what a holder should have at hand beyond what its requests under
-// way need. The caller holds mu.
-func (s *Sizer) hold(b *Book, w sumachead.WorkspaceID, h Holder) sumachead.Tokens {
+// targetAvailable returns how much a holder should have available beyond what its requests in
+// flight need. The caller holds mu.
+func (s *Sizer) targetAvailable(b *Book, w sumachead.WorkspaceID, h Holder) sumachead.Tokens {
 	d := s.holders[h]
 	if d == nil || d.rates[w] == 0 {
 		return 0
 	}
-	rate, rates := d.rates[w], s.rates[w]
-	free := max(b.Free(w), 0)
-	byTime := rate * sumachead.Tokens(longestHold/time.Second)
-	return min(byTime, out(free, rates)*rate/rates)
+	rate, rates := d.rates[w], s.totalRates[w]
+	unallocated := max(b.Free(w), 0)
+	byTime := rate * sumachead.Tokens(maxOutageDuration/time.Second)
+	return min(byTime, targetOutstanding(unallocated, rates)*rate/rates)
 }
 
-// out returns how much of what is free of a budget all holders together should have
-// at hand. The rates are the sum of their demand in tokens a second, above 0.
-func out(free, rates sumachead.Tokens) sumachead.Tokens {
-	full := sumachead.Tokens(ampleLasts / time.Second)
-	lasts := min(free/rates, full)
-	ample := free / full * lasts
-	return max(free/outPart, min(ample, free/amplePart))
+// targetOutstanding returns how much of a budget's unallocated part all holders together should
+// have available. totalRate is the sum of their demand in tokens per second and above 0.
+func targetOutstanding(unallocated, totalRate sumachead.Tokens) sumachead.Tokens {
+	maxDuration := sumachead.Tokens(ampleDuration / time.Second)
+	duration := min(unallocated/totalRate, maxDuration)
+	byDuration := unallocated / maxDuration * duration
+	return max(unallocated/minOutstandingDivisor, min(byDuration, unallocated/maxOutstandingDivisor))
 }
 
-// remaining returns the most that may still become available: the total without
-// what holders in contact have reported as spent, what closed lives count as
-// spent, and all that holders out of contact have. The caller holds mu.
+// remaining returns the most that may still become available: the total less the reported
+// spending of live holders, what closed incarnations count as spent, and all that holders that
+// are not live hold. The caller holds mu.
 func (s *Sizer) remaining(b *Book, w sumachead.WorkspaceID) sumachead.Tokens {
 	total, _ := b.Total(w)
-	return total - b.Spent(w, s.live)
+	return total - b.Spent(w, s.isLive)
 }
--- a/internal/escrow/waiting_test.go
+++ b/internal/escrow/waiting_test.go
@@ -12,8 +12,8 @@
 	"sumachead/internal/patience"
 )
 
-// What requests have waited for in vain is not waited for by the next one: it is told
-// at once when to come back. Once one is admitted, the next waits again.
+// After requests have waited for tokens without success, the next one does not wait but is told
+// at once when to retry. Once a request is admitted, the next one waits again.
 func TestNobodyWaitsInVainAgain(t *testing.T) {
 	l := newLedger(100_000)
 	h := newHolder("router-1", "a")
@@ -30,68 +30,68 @@
 	}
 	_, waited, f := ask(10_000)
 	if f == nil || f.RetryAt.IsZero() || waited < objective/4 || waited > objective {
-		t.Fatalf("the first: %v after %v", f, waited)
+		t.Fatalf("first request: %v after %v", f, waited)
 	}
 	time.Sleep(objective)
 	if _, waited, f = ask(20_000); f == nil || waited > objective/10 {
-		t.Fatalf("the second: %v after %v", f, waited)
+		t.Fatalf("second request: %v after %v", f, waited)
 	}
-	if back := time.Until(f.RetryAt); back < objective {
-		t.Errorf("told to come back in %v, after a longer wait in vain", back)
+	if wait := time.Until(f.RetryAt); wait < objective {
+		t.Errorf("told to retry in %v, after a longer wait without success", wait)
 	}
 	h.report(l, time.Now())
 	if r, _, f := ask(10_000); f != nil {
-		t.Fatalf("refused with money at hand: %v", f)
+		t.Fatalf("refused although tokens are available: %v", f)
 	} else {
 		r.Settle(10_000)
 	}
 	if _, waited, _ = ask(90_000); waited < objective/4 {
-		t.Errorf("refused after %v, and nobody had waited in vain since money came", waited)
+		t.Errorf("refused after %v, although no request had waited without success since tokens came", waited)
 	}
 }
 
-// While others have to give back first, a workspace is asked for again at longer intervals: a
-// request waits for the answer to the next report that may ask for it, since only that one tells
-// whether there is money. A request for another workspace does not.
-func TestARequestWaitsForTheNextReportThatMayAsk(t *testing.T) {
-	const again = 160 * time.Millisecond
+// While other holders have to return tokens first, a workspace's shortfall is reported at
+// longer intervals. The estimate for a request starts at the next report that may ask for it,
+// since only that reply tells whether there are tokens. Other workspaces are not delayed.
+func TestWaitEstimateStartsAtNextAllowedReport(t *testing.T) {
+	const retryDelay = 160 * time.Millisecond
 	h := newHolder("router-1", "a")
-	var askedFrom time.Time
+	var estimateFrom time.Time
 	h.Prospect = func(asked, _ time.Time) sumachead.Prospect {
-		askedFrom = asked
+		estimateFrom = asked
 		return patience.Told{}
 	}
 	ask := func(id sumachead.WorkspaceID) time.Duration {
 		begun := time.Now()
 		if _, err := h.Reserve(context.Background(), id, 1000, patience.Use{InTime: begun.Add(time.Second)}, 0); err == nil {
-			t.Fatal("money where none was granted")
+			t.Fatal("reserved tokens that were not granted")
 		}
-		return askedFrom.Sub(begun)
+		return estimateFrom.Sub(begun)
 	}
 	ask(clerks)
 	r := h.Report(time.Now(), false)
 	a := &wire.EscrowAnswer{Workspace: string(clerks), Keep: NoWish}
-	h.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{a}, AgainMillis: again.Milliseconds()}, sumachead.BootID(r.GetBoot()), "b", time.Now())
-	if from := ask(clerks); from < again-20*time.Millisecond || from > again {
-		t.Errorf("asked for from %v on, want %v", from, again)
+	h.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{a}, AgainMillis: retryDelay.Milliseconds()}, sumachead.BootID(r.GetBoot()), "b", time.Now())
+	if from := ask(clerks); from < retryDelay-20*time.Millisecond || from > retryDelay {
+		t.Errorf("estimate starts after %v, want %v", from, retryDelay)
 	}
 	if from := ask("another"); from > 20*time.Millisecond {
-		t.Errorf("another workspace is asked for from %v on", from)
+		t.Errorf("estimate for another workspace starts after %v", from)
 	}
 }
 
-// How soon those that lack something ask again depends on their number, not on the fleet's.
-func TestHoldersAskAgainByHowManyLack(t *testing.T) {
+// The retry delay of short holders depends on their number, not on the size of the fleet.
+func TestRetryDelayDependsOnShortHolders(t *testing.T) {
 	tests := []struct {
-		name            string
-		holders, lack   int
-		lackedFor, want time.Duration
+		name           string
+		holders, short int
+		shortFor, want time.Duration
 	}{
 		{"one of four", 4, 1, 0, 45 * time.Millisecond},
 		{"one of a thousand", 1000, 1, 0, 45 * time.Millisecond},
 		{"five of a thousand", 1000, 5, 0, 65 * time.Millisecond},
 		{"all of four hundred", 400, 400, 0, 2040 * time.Millisecond},
-		{"none any more", 400, 400, time.Minute, 40 * time.Millisecond},
+		{"no longer short", 400, 400, time.Minute, 40 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -100,23 +100,23 @@
 			now := time.Now()
 			for i := range tt.holders {
 				r := &wire.EscrowReport{Node: fmt.Sprint("router-", i), Boot: "a", Positions: []*wire.EscrowPosition{{Workspace: string(clerks)}}}
-				if i < tt.lack {
+				if i < tt.short {
 					r.Positions[0].Needed = 5000
 				}
 				s.Note(r, now)
 				s.Size(b, r, now)
 			}
-			if got := s.Again(now.Add(tt.lackedFor)); got != tt.want {
+			if got := s.Again(now.Add(tt.shortFor)); got != tt.want {
 				t.Errorf("after %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// Of a workspace that lacks money only those are told who have some of it at hand: in a large
-// fleet a few holders, whatever the number of the others.
+// When a workspace is short, only holders that have some of its tokens available are notified,
+// independent of the size of the fleet.
 func TestOnlyHoldersOfAWorkspaceAreAskedToGiveBack(t *testing.T) {
-	const holders, with = 400, 5
+	const holders, withTokens = 400, 5
 	b, s := NewBook(), &Sizer{}
 	b.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: 1000})
 	now := time.Now()
@@ -125,29 +125,29 @@
 	for i := range holders {
 		r := &wire.EscrowReport{Node: string(node(i)), Boot: "a", Positions: []*wire.EscrowPosition{{Workspace: string(clerks)}}}
 		s.Note(r, now)
-		if i < with {
+		if i < withTokens {
 			b.Apply(&wire.EscrowGrant{Report: r, Grants: []int64{200}})
 		}
 		_, changes[i] = s.Lacking(node(i), now)
 	}
-	lacks := &wire.EscrowReport{Node: string(node(holders - 1)), Boot: "a", Positions: []*wire.EscrowPosition{{Workspace: string(clerks), Needed: 300}}}
-	s.Size(b, lacks, now)
-	told := 0
+	short := &wire.EscrowReport{Node: string(node(holders - 1)), Boot: "a", Positions: []*wire.EscrowPosition{{Workspace: string(clerks), Needed: 300}}}
+	s.Size(b, short, now)
+	notified := 0
 	for i := range holders {
 		select {
 		case <-changes[i]:
-			told++
+			notified++
 		default:
 		}
 		ws, _ := s.Lacking(node(i), now)
-		if got := len(ws) > 0; got != (i < with) {
-			t.Errorf("router-%d is asked: %v", i, got)
+		if got := len(ws) > 0; got != (i < withTokens) {
+			t.Errorf("router-%d is asked to return tokens: %v", i, got)
 		}
 	}
-	if told != with {
-		t.Errorf("%d of %d nodes were told, %d have something at hand", told, holders, with)
+	if notified != withTokens {
+		t.Errorf("%d of %d nodes were notified, %d have tokens available", notified, holders, withTokens)
 	}
 	if ws, _ := s.Lacking(node(0), now.Add(time.Minute)); ws != nil {
-		t.Errorf("asked long after: %v", ws)
+		t.Errorf("still asked after the timeout: %v", ws)
 	}
 }
--- a/internal/escrow/wallet.go
+++ b/internal/escrow/wallet.go
@@ -8,40 +8,41 @@
 	"sumachead/api/wire"
 )
 
-// Wallet holds one node's escrow and admits requests from it without a call. It
+// Wallet holds one node's escrow and admits requests from it without a call to the ledger. It
 // is safe for concurrent use. Set the exported fields before the first call.
 type Wallet struct {
 	Node sumachead.NodeID
-	// Kick asks for a report soon; it must not block.
+	// RequestReport requests that a report be sent soon. It must not block.
 	Kick func()
-	// Prospect returns that of money which a report may ask for from a time on, and which
-	// requests have lacked since another; nil where nothing is known of the ledger.
+	// EstimateGrant estimates when the ledger grants tokens that a report may ask for from the
+	// time asked on, and that requests have been short of since the time since. It is nil if
+	// nothing is known of the ledger.
 	Prospect func(asked, since time.Time) sumachead.Prospect
 
-	mu sync.Mutex // guards the fields below, and what purses hold
-	// boot is the holder's life; the ledger may close it.
-	boot   sumachead.BootID
-	purses map[sumachead.WorkspaceID]*purse
-	// changed is closed, and replaced, when a request that waits should look
-	// again: an answer came, a bill freed something, or the life has ended.
+	mu sync.Mutex // guards the fields below, and the balances
+	// boot is the holder's incarnation; the ledger may close it.
+	boot     sumachead.BootID
+	balances map[sumachead.WorkspaceID]*balance
+	// changed is closed and replaced when waiting requests should try again: a reply came, a
+	// settled bill freed tokens, or the incarnation has ended.
 	changed chan struct{}
 }
 
-// Open starts a life of the holder.
+// Open starts an incarnation of the holder.
 func (w *Wallet) Open(boot sumachead.BootID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reset(boot)
 }
 
-// reset empties the wallet for a life of the holder. The caller holds mu.
+// reset empties the wallet for a new incarnation of the holder. The caller holds mu.
 func (w *Wallet) reset(boot sumachead.BootID) {
 	w.boot = boot
-	w.purses = make(map[sumachead.WorkspaceID]*purse)
+	w.balances = make(map[sumachead.WorkspaceID]*balance)
 	w.notify()
 }
 
-// notify wakes up all requests that wait. The caller holds mu.
+// notify wakes up all waiting requests. The caller holds mu.
 func (w *Wallet) notify() {
 	if w.changed != nil {
 		close(w.changed)
@@ -49,27 +50,27 @@
 	w.changed = make(chan struct{})
 }
 
-// purse returns a workspace's purse, making it if need be. A new one is dirty, so
-// that the next report tells of it. The caller holds mu.
-func (w *Wallet) purse(id sumachead.WorkspaceID) *purse {
-	p := w.purses[id]
+// balance returns a workspace's balance, creating it if needed. A new one is dirty, so that the
+// next report includes it. The caller holds mu.
+func (w *Wallet) balance(id sumachead.WorkspaceID) *balance {
+	p := w.balances[id]
 	if p == nil {
-		p = &purse{dirty: true}
-		w.purses[id] = p
+		p = &balance{dirty: true}
+		w.balances[id] = p
 	}
 	return p
 }
 
-// Report returns what is to be told to the ledger; nil when there is nothing new.
+// Report returns the changes to report to the ledger, or nil when there are none.
 func (w *Wallet) Report(now time.Time, closing bool) *wire.EscrowReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &wire.EscrowReport{Node: string(w.Node), Boot: string(w.boot), Closing: closing}
-	for id, p := range w.purses {
+	for id, p := range w.balances {
 		if !p.dirty && !closing {
 			continue
 		}
-		r.Positions = append(r.Positions, p.position(id, now, closing))
+		r.Positions = append(r.Positions, p.reportPosition(id, now, closing))
 	}
 	if len(r.Positions) == 0 && !closing {
 		return nil
@@ -77,14 +78,14 @@
 	return r
 }
 
-// Touch puts workspaces into the next report if there is money of theirs at hand
-// to give back; it reports whether there is.
+// IncludeInReport adds workspaces that have available tokens to the next report, so that they
+// can be returned. It reports whether there are any.
 func (w *Wallet) Touch(ids []sumachead.WorkspaceID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	found := false
 	for _, id := range ids {
-		if p := w.purses[id]; p != nil && p.atHand() > 0 {
+		if p := w.balances[id]; p != nil && p.available() > 0 {
 			p.dirty = true
 			found = true
 		}
@@ -92,17 +93,17 @@
 	return found
 }
 
-// Unsent marks a report's positions as not told, after a call that failed.
+// MarkUnsent marks a report's positions as not sent, after a call that failed.
 func (w *Wallet) Unsent(r *wire.EscrowReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range r.GetPositions() {
-		w.purse(sumachead.WorkspaceID(p.GetWorkspace())).dirty = true
+		w.balance(sumachead.WorkspaceID(p.GetWorkspace())).dirty = true
 	}
 }
 
-// Take puts a reply in force. It reports whether the ledger has closed this life:
-// the wallet is then empty and under a new one.
+// ApplyReply applies the ledger's reply. It reports whether the ledger has closed this
+// incarnation; the wallet is then empty and belongs to the next one.
 func (w *Wallet) Take(reply *wire.EscrowReply, boot, next sumachead.BootID, now time.Time) (closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,81 +114,81 @@
 		w.reset(next)
 		return true
 	}
-	again := now.Add(time.Duration(reply.GetAgainMillis()) * time.Millisecond)
+	retryAt := now.Add(time.Duration(reply.GetAgainMillis()) * time.Millisecond)
 	for _, a := range reply.GetAnswers() {
-		w.takeOne(a, again, now)
+		w.applyAnswer(a, retryAt, now)
 	}
 	w.notify()
 	return false
 }
 
-// takeOne puts the answer on one workspace in force; what it lacks may be asked for again at a
-// time. The caller holds mu.
-func (w *Wallet) takeOne(a *wire.EscrowAnswer, again, now time.Time) {
-	p := w.purse(sumachead.WorkspaceID(a.GetWorkspace()))
+// applyAnswer applies the answer for one workspace. A shortfall may be requested again from
+// retryAt on. The caller holds mu.
+func (w *Wallet) applyAnswer(a *wire.EscrowAnswer, retryAt, now time.Time) {
+	p := w.balance(sumachead.WorkspaceID(a.GetWorkspace()))
 	more := sumachead.Tokens(a.GetGranted()) > p.granted
 	p.granted = max(p.granted, sumachead.Tokens(a.GetGranted()))
-	const lowShare = 2 // a report is due once half of this is gone
-	p.low = p.atHand() / lowShare
-	p.heldTo = time.Time{}
-	if p.asking && p.atHand() < p.asked {
-		p.heldTo = again
+	const lowDivisor = 2 // a report is due when less than half of this is left
+	p.lowWatermark = p.available() / lowDivisor
+	p.requestAfter = time.Time{}
+	if p.requesting && p.available() < p.requestedBound {
+		p.requestAfter = retryAt
 	}
 	switch {
 	case a.GetExhausted():
-		p.ends.note(p.asked, now)
-	case more || p.asking:
-		p.ends = ends{}
+		p.exhaustion.record(p.requestedBound, now)
+	case more || p.requesting:
+		p.exhaustion = exhaustion{}
 	}
-	if keep := sumachead.Tokens(a.GetKeep()); keep >= 0 && p.atHand() > keep {
-		p.returned += p.atHand() - keep
+	if keep := sumachead.Tokens(a.GetKeep()); keep >= 0 && p.available() > keep {
+		p.returned += p.available() - keep
 		p.dirty = true
 		w.Kick()
 	}
 }
 
-// ask asks for a report that tells what requests of a workspace lack: soon, or once the ledger
-// may have more. The caller holds mu.
-func (w *Wallet) ask(p *purse, now time.Time) {
-	held := p.heldTo.Sub(now)
-	if held <= 0 {
+// scheduleReport requests a report of a workspace's shortfall, at once or from requestAfter on,
+// when the ledger may have more. The caller holds mu.
+func (w *Wallet) scheduleReport(p *balance, now time.Time) {
+	delay := p.requestAfter.Sub(now)
+	if delay <= 0 {
 		w.Kick()
 		return
 	}
-	if p.toAsk {
+	if p.reportScheduled {
 		return
 	}
-	p.toAsk = true
-	time.AfterFunc(held, func() {
+	p.reportScheduled = true
+	time.AfterFunc(delay, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		p.toAsk = false
-		if len(p.waiting) > 0 || len(p.left) > 0 {
+		p.reportScheduled = false
+		if len(p.waiting) > 0 || len(p.abandoned) > 0 {
 			w.Kick()
 		}
 	})
 }
 
-// AtHand returns what could be reserved now.
+// Available returns what could be reserved now.
 func (w *Wallet) AtHand(id sumachead.WorkspaceID) sumachead.Tokens {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if p := w.purses[id]; p != nil {
-		return p.atHand()
+	if p := w.balances[id]; p != nil {
+		return p.available()
 	}
 	return 0
 }
 
-// Sum is a wallet's money of all workspaces, by state.
+// Totals are a wallet's tokens over all workspaces, by state.
 type Sum struct{ AtHand, Reserved, Spent, Returned sumachead.Tokens }
 
-// Sum adds up all workspaces.
+// Totals adds up the balances of all workspaces.
 func (w *Wallet) Sum() Sum {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var s Sum
-	for _, p := range w.purses {
-		s.AtHand += p.atHand()
+	for _, p := range w.balances {
+		s.AtHand += p.available()
 		s.Reserved += p.reserved
 		s.Spent += p.spent
 		s.Returned += p.returned
