--- a/internal/lending/bills.go
+++ b/internal/lending/bills.go
@@ -11,35 +11,34 @@
 )
 
 const (
-	// billsAtOnce bounds the bills of one call.
-	billsAtOnce = 256
-	// billTimeout bounds a call with bills, and billAgain is the pause after one that
-	// failed: the money is locked meanwhile, and some hundred ms of it matter little.
-	billTimeout = 500 * time.Millisecond
-	billAgain   = 100 * time.Millisecond
+	// maxBillsPerCall bounds the bills sent in one call.
+	maxBillsPerCall = 256
+	// billTimeout bounds a call with bills, and billRetryDelay is the pause after a failed one.
+	// The tokens stay reserved meanwhile, and a few hundred milliseconds of that matter little.
+	billTimeout    = 500 * time.Millisecond
+	billRetryDelay = 100 * time.Millisecond
 )
 
-// dueBill is a bill that a lender has not acknowledged.
-type dueBill struct {
+// pendingBill is a bill that its lender has not acknowledged.
+type pendingBill struct {
 	*wire.LoanBill
-	// until is when the lender has counted the bound instead.
-	until time.Time
+	// expiresAt is when the lender settles the loan at its bound instead.
+	expiresAt time.Time
 }
 
-// newBills returns the bills on their way to lenders, by address.
-func (b *Borrower) newBills() *outbox.Outbox[string, dueBill] {
-	return &outbox.Outbox[string, dueBill]{Most: billsAtOnce, Send: b.send}
+// newOutbox returns the outbox of bills, keyed by lender address.
+func (b *Borrower) newOutbox() *outbox.Outbox[string, pendingBill] {
+	return &outbox.Outbox[string, pendingBill]{Most: maxBillsPerCall, Send: b.sendBills}
 }
 
-// bill brings a bill to a lender, without waiting for that; the caller's deadline says
-// until when it is of use.
-func (b *Borrower) bill(lender string, number uint64, amount sumachead.Tokens, deadline time.Time) {
-	b.bills.Put(lender, dueBill{&wire.LoanBill{Number: number, Bill: int64(amount)}, deadline.Add(billsWithin)})
+// queueBill queues a bill for a lender and does not wait. The bill expires billGracePeriod
+// after the caller's deadline.
+func (b *Borrower) queueBill(lender string, number uint64, amount sumachead.Tokens, deadline time.Time) {
+	b.bills.Put(lender, pendingBill{&wire.LoanBill{Number: number, Bill: int64(amount)}, deadline.Add(billGracePeriod)})
 }
 
-// send brings bills to a lender. Those that it did not take are brought again while they
-// are of use.
-func (b *Borrower) send(lender string, batch []dueBill) (again []dueBill, pause time.Duration) {
+// sendBills sends bills to a lender and returns those that failed and have not expired.
+func (b *Borrower) sendBills(lender string, batch []pendingBill) (retry []pendingBill, delay time.Duration) {
 	r := &wire.LoanBills{Boot: string(b.boot)}
 	for _, d := range batch {
 		r.Bills = append(r.Bills, d.LoanBill)
@@ -52,15 +51,15 @@
 	}
 	now := time.Now()
 	for _, d := range batch {
-		if now.Before(d.until) {
-			again = append(again, d)
+		if now.Before(d.expiresAt) {
+			retry = append(retry, d)
 		}
 	}
-	if dropped := len(batch) - len(again); dropped > 0 {
-		b.Log.Warn("Bills were not taken; their lender counts the bounds.", "lender", lender, "bills", dropped, "error", err)
+	if dropped := len(batch) - len(retry); dropped > 0 {
+		b.Log.Warn("Bills were not delivered; the lender settles the loans at their bounds.", "lender", lender, "bills", dropped, "error", err)
 	}
-	return again, billAgain
+	return retry, billRetryDelay
 }
 
-// Flush waits until all bills are with their lenders, or ctx ends.
+// Flush waits until all bills are acknowledged, or ctx ends.
 func (b *Borrower) Flush(ctx context.Context) { b.bills.Flush(ctx) }
--- a/internal/lending/borrower.go
+++ b/internal/lending/borrower.go
@@ -19,59 +19,59 @@
 )
 
 const (
-	// answerWithin bounds the first answer of a lender, which does not wait for anything:
-	// many round trips within a data hall, and a collection of a small host's memory.
-	answerWithin = 80 * time.Millisecond
-	// downFor is for how long a lender that did not answer is passed over. Its workspaces
-	// have money elsewhere then, so that it is short enough to leave little there.
-	downFor = 500 * time.Millisecond
+	// firstReplyTimeout bounds a lender's first reply, which does not wait for tokens: many
+	// round trips within a data hall, and a garbage collection on a small host.
+	firstReplyTimeout = 80 * time.Millisecond
+	// lenderBackoff is how long a lender that did not reply is skipped. Its workspaces have
+	// tokens elsewhere meanwhile, so it is short enough to leave little there.
+	lenderBackoff = 500 * time.Millisecond
 )
 
-// errElsewhere marks a loan that another lender may make.
-var errElsewhere = errors.New("another lender may have money")
+// errTryOtherLender means that another lender may grant the loan.
+var errTryOtherLender = errors.New("another lender may have tokens")
 
-// Borrower gets money for requests of one router. Set the exported fields before the first
-// call; it is safe for concurrent use.
+// Borrower reserves tokens for the requests of one router. Set the exported fields before the
+// first call; it is safe for concurrent use.
 type Borrower struct {
-	// Self is where this router lends; it is among the lenders.
+	// SelfAddress is the address at which this router lends; it is among the lenders.
 	Self string
 	// Lenders returns the addresses of the data hall's lenders.
 	Lenders func() []string
 	Wallet  *escrow.Wallet
-	// Unreached reports whether the ledger is out of this process's reach.
+	// LedgerUnreachable reports whether this process cannot reach the ledger.
 	Unreached func() bool
 	Pool      *rpc.Pool
 	Log       hclog.Logger
 
-	boot   sumachead.BootID
-	number atomic.Uint64
-	demand demand
-	// bills are those on their way to lenders.
-	bills *outbox.Outbox[string, dueBill]
+	boot       sumachead.BootID
+	lastNumber atomic.Uint64
+	demand     demand
+	// bills are sent to lenders in the background.
+	bills *outbox.Outbox[string, pendingBill]
 
-	mu sync.Mutex // guards downTo
-	// downTo is until when lenders are passed over.
-	downTo map[string]time.Time
+	mu sync.Mutex // guards backoffUntil
+	// backoffUntil is the time until which each lender is skipped.
+	backoffUntil map[string]time.Time
 }
 
-// Prepare starts a life of the borrower. Call it before Reserve.
+// Init starts an incarnation of the borrower. Call it before Reserve.
 func (b *Borrower) Prepare() {
 	b.boot = sumachead.BootID(uuid.NewString())
-	b.downTo = make(map[string]time.Time)
-	b.bills = b.newBills()
+	b.backoffUntil = make(map[string]time.Time)
+	b.bills = b.newOutbox()
 }
 
-// Reserve holds bound of a workspace's money at the workspace's lender, or in this router's
-// own wallet: where its own demand is large (demand.go), and where no lender can know more.
-// The error is a [*sumachead.Refusal].
+// Reserve reserves bound of a workspace's tokens at the workspace's lender, or in this router's
+// own wallet if its own demand is high (demand.go) or no lender can know more. The error is a
+// [*sumachead.Refusal].
 func (b *Borrower) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Use, urgency uint32) (sumachead.Reservation, error) {
-	if b.demand.note(id, time.Now()) {
+	if b.demand.record(id, time.Now()) {
 		if m := b.Wallet.Try(id, bound); m != nil {
 			return m, nil
 		}
 		b.Wallet.Want(id, bound)
 	}
-	for _, l := range choose(b.Lenders(), id, b.fit) {
+	for _, l := range chooseLenders(b.Lenders(), id, b.eligible) {
 		if l == b.Self {
 			if m := b.Wallet.Try(id, bound); m != nil {
 				return m, nil
@@ -84,7 +84,7 @@
 		m, err := b.borrow(ctx, l, &wire.LoanRequest{
 			Boot: string(b.boot), Workspace: string(id), Bound: int64(bound), Urgency: urgency,
 		}, u)
-		if !errors.Is(err, errElsewhere) {
+		if !errors.Is(err, errTryOtherLender) {
 			return m, err
 		}
 	}
@@ -95,68 +95,68 @@
 	return m, nil
 }
 
-// fit reports whether a lender is not passed over.
-func (b *Borrower) fit(lender string) bool {
+// eligible reports whether a lender is not in backoff.
+func (b *Borrower) eligible(lender string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Now().After(b.downTo[lender])
+	return time.Now().After(b.backoffUntil[lender])
 }
 
-// down passes a lender over for a while.
-func (b *Borrower) down(lender string, why error) {
+// backOff skips a lender for lenderBackoff.
+func (b *Borrower) backOff(lender string, why error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if now.After(b.downTo[lender]) {
+	if now.After(b.backoffUntil[lender]) {
 		b.Log.Info("A lender is passed over.", "lender", lender, "cause", why)
 	}
-	b.downTo[lender] = now.Add(downFor)
+	b.backoffUntil[lender] = now.Add(lenderBackoff)
 }
 
-// borrow asks one lender: at first for what it has at hand, and, where that is too little,
-// to wait for more.
+// borrow asks one lender for a loan, first for what it has available and, if that is too
+// little, waiting for more.
 func (b *Borrower) borrow(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Use) (sumachead.Reservation, error) {
-	reply, err := b.ask(ctx, lender, r, u, time.Now().Add(answerWithin))
+	reply, err := b.callLender(ctx, lender, r, u, time.Now().Add(firstReplyTimeout))
 	if err == nil && reply.GetShort() {
 		r.Wait = true
-		reply, err = b.ask(ctx, lender, r, u, u.Deadline)
+		reply, err = b.callLender(ctx, lender, r, u, u.Deadline)
 	}
 	switch {
 	case ctx.Err() != nil:
 		return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonDeadlinePassed, "the caller has gone", time.Time{})
 	case err != nil:
-		b.down(lender, err)
-		return nil, errElsewhere
+		b.backOff(lender, err)
+		return nil, errTryOtherLender
 	case reply.GetRefusal().GetElsewhere():
-		b.down(lender, errElsewhere)
-		return nil, errElsewhere
+		b.backOff(lender, errTryOtherLender)
+		return nil, errTryOtherLender
 	case reply.GetRefusal() != nil:
-		return nil, refusalFrom(reply.GetRefusal(), time.Now())
+		return nil, refusalFromWire(reply.GetRefusal(), time.Now())
 	}
-	return &borrowed{borrower: b, lender: lender, number: r.GetNumber(), bound: sumachead.Tokens(r.GetBound())}, nil
+	return &loanReservation{borrower: b, lender: lender, number: r.GetNumber(), bound: sumachead.Tokens(r.GetBound())}, nil
 }
 
-// ask puts one question to a lender, under a number of its own. If there is no answer the
-// loan is ended: it may have been made.
-func (b *Borrower) ask(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Use, until time.Time) (*wire.LoanReply, error) {
+// callLender sends one request for a loan to a lender, under a number of its own. If no reply
+// comes, it queues a bill of 0, since the loan may have been made.
+func (b *Borrower) callLender(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Use, deadline time.Time) (*wire.LoanReply, error) {
 	now := time.Now()
-	r.Number = b.number.Add(1)
+	r.Number = b.lastNumber.Add(1)
 	r.DeadlineMicros = max(u.Deadline.Sub(now).Microseconds(), 1)
 	r.InTimeMicros = 0
 	if !u.InTime.IsZero() {
 		r.InTimeMicros = max(u.InTime.Sub(now).Microseconds(), 1)
 	}
-	ctx, cancel := context.WithDeadline(ctx, until)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	reply, err := rpc.Call[wire.LoanReply](ctx, b.Pool.Get(lender), Name+".Reserve", r)
 	if err != nil && !errors.Is(err, rpc.ErrNotSent) {
-		b.bill(lender, r.GetNumber(), 0, u.Deadline)
+		b.queueBill(lender, r.GetNumber(), 0, u.Deadline)
 	}
 	return reply, err
 }
 
-// borrowed is a request's money at another router.
-type borrowed struct {
+// loanReservation is a request's reservation at another router.
+type loanReservation struct {
 	borrower *Borrower
 	lender   string
 	number   uint64
@@ -165,8 +165,8 @@
 }
 
 // Settle implements sumachead.Reservation.
-func (r *borrowed) Settle(bill sumachead.Tokens) {
+func (r *loanReservation) Settle(bill sumachead.Tokens) {
 	if r.settled.CompareAndSwap(false, true) {
-		r.borrower.bill(r.lender, r.number, min(max(bill, 0), r.bound), time.Now())
+		r.borrower.queueBill(r.lender, r.number, min(max(bill, 0), r.bound), time.Now())
 	}
 }
--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -9,13 +9,13 @@
 	"sumachead"
 )
 
-// lendersTried is how many lenders a request is brought to: the workspace's own and, where
-// that one is down or has lost the ledger, two others that may have a way to it.
-const lendersTried = 3
+// maxLenders is how many lenders a request tries: the workspace's own and, if that one is down
+// or cannot reach the ledger, two others that may reach it.
+const maxLenders = 3
 
-// choose orders the lenders for a workspace by rendezvous hashing, and returns the first
-// of those that fit. All routers order alike, so that a workspace's money is at one place.
-func choose(lenders []string, w sumachead.WorkspaceID, fit func(lender string) bool) []string {
+// chooseLenders orders the lenders for a workspace by rendezvous hashing and returns the first
+// eligible ones. All routers use the same order, so that a workspace's tokens are in one place.
+func chooseLenders(lenders []string, w sumachead.WorkspaceID, fit func(lender string) bool) []string {
 	type ranked struct {
 		lender string
 		rank   uint64
@@ -28,7 +28,7 @@
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
 	var out []string
-	for _, r := range all[:min(len(all), lendersTried)] {
+	for _, r := range all[:min(len(all), maxLenders)] {
 		out = append(out, r.lender)
 	}
 	return out
--- a/internal/lending/demand.go
+++ b/internal/lending/demand.go
@@ -9,52 +9,51 @@
 )
 
 const (
-	// holdsFrom is the demand, in requests a second, from which a router holds a
-	// workspace's money itself, and holdsTo that below which it borrows again. A holder
-	// with that demand has more at hand than one request, and few can have it for one
-	// workspace, so that its money is not in too many pieces; and the callers of a busy
-	// workspace that keep to one router do not wait for a call each. Played: of the
-	// requests of one that sends 50 a second to one small router of 102, 57 percent were
-	// refused where that router borrowed for each.
-	holdsFrom = 4.0
-	holdsTo   = 2.0
-	// demandMemory is the time constant by which demand is forgotten: as a wallet does.
-	demandMemory = 4 * time.Second
+	// minHoldRate is the demand, in requests per second, from which a router holds a
+	// workspace's tokens itself. Below minKeepRate it borrows again. A holder with this demand
+	// has more available than one request needs, and few routers can reach it for the same
+	// workspace, so that its tokens are not split too finely. Callers of a busy workspace that
+	// use one router also avoid a call per request. When a small router, one of 102, borrowed
+	// for each of 50 requests per second of one workspace, 57 percent of them were refused.
+	minHoldRate = 4.0
+	minKeepRate = 2.0
+	// demandTimeConstant is the time constant of the demand average, the same as in a wallet.
+	demandTimeConstant = 4 * time.Second
 )
 
-// demand is a router's own demand for the money of workspaces. The zero value is ready.
+// demand tracks a router's own demand for tokens by workspace. The zero value is ready to use.
 type demand struct {
-	mu sync.Mutex // guards of
-	of map[sumachead.WorkspaceID]*workspaceDemand
+	mu          sync.Mutex // guards byWorkspace
+	byWorkspace map[sumachead.WorkspaceID]*workspaceDemand
 }
 
-// workspaceDemand is that for one workspace.
+// workspaceDemand is the demand for one workspace.
 type workspaceDemand struct {
-	// rate is in requests a second, as of at.
+	// rate is in requests per second, as of at.
 	rate float64
 	at   time.Time
-	// holds: the router holds the workspace's money itself.
+	// holds is set while the router holds the workspace's tokens itself.
 	holds bool
 }
 
-// note counts a request, and reports whether the router is to hold the workspace's money.
-func (d *demand) note(id sumachead.WorkspaceID, now time.Time) (holds bool) {
+// record counts a request and reports whether the router should hold the workspace's tokens.
+func (d *demand) record(id sumachead.WorkspaceID, now time.Time) (holds bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.of == nil {
-		d.of = make(map[sumachead.WorkspaceID]*workspaceDemand)
+	if d.byWorkspace == nil {
+		d.byWorkspace = make(map[sumachead.WorkspaceID]*workspaceDemand)
 	}
-	w := d.of[id]
+	w := d.byWorkspace[id]
 	if w == nil {
 		w = &workspaceDemand{at: now}
-		d.of[id] = w
+		d.byWorkspace[id] = w
 	}
-	w.rate = w.rate*math.Exp(-now.Sub(w.at).Seconds()/demandMemory.Seconds()) + 1/demandMemory.Seconds()
+	w.rate = w.rate*math.Exp(-now.Sub(w.at).Seconds()/demandTimeConstant.Seconds()) + 1/demandTimeConstant.Seconds()
 	w.at = now
 	switch {
-	case w.rate >= holdsFrom:
+	case w.rate >= minHoldRate:
 		w.holds = true
-	case w.rate < holdsTo:
+	case w.rate < minKeepRate:
 		w.holds = false
 	}
 	return w.holds
--- a/internal/lending/demand_test.go
+++ b/internal/lending/demand_test.go
@@ -7,18 +7,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestBusyRouterHoldsMoneyItself(t *testing.T) {
+func TestBusyRouterHoldsTokens(t *testing.T) {
 	tests := []struct {
 		name string
-		// rates are requests a second, each for some seconds.
+		// rates are requests per second, each for some seconds.
 		rates []float64
 		want  []bool
 	}{
 		{"few requests", []float64{1, 1, 1}, []bool{false, false, false}},
 		{"many", []float64{10, 10}, []bool{true, true}},
-		{"fewer again, but not few", []float64{10, 3}, []bool{true, true}},
-		{"few again", []float64{10, 0.5}, []bool{true, false}},
-		{"between the bounds from the start", []float64{3, 3}, []bool{false, false}},
+		{"above minKeepRate", []float64{10, 3}, []bool{true, true}},
+		{"below minKeepRate", []float64{10, 0.5}, []bool{true, false}},
+		{"between the rates from the start", []float64{3, 3}, []bool{false, false}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 				holds := false
 				for range int(r * 16) {
 					now = now.Add(time.Duration(float64(time.Second) / r))
-					holds = d.note(clerks, now)
+					holds = d.record(clerks, now)
 				}
 				got = append(got, holds)
 			}
@@ -40,29 +40,29 @@
 	}
 }
 
-// While a busy router's own money is still on its way, it borrows.
+// A busy router borrows until it has tokens of its own.
 func TestBusyRouterBorrowsAtFirst(t *testing.T) {
-	rs := hall(t, 100_000, 0)
+	rs := newHall(t, 100_000, 0)
 	busy := rs[1]
 	for i := range 40 {
-		m, err := busy.Borrower.Reserve(t.Context(), clerks, 100, soon(), 0)
+		m, err := busy.Borrower.Reserve(t.Context(), clerks, 100, testDeadlines(), 0)
 		if err != nil {
 			t.Fatalf("request %d: %v", i, err)
 		}
 		m.Settle(100)
 	}
 	if r := busy.Lender.Wallet.Report(time.Now(), false); len(r.GetPositions()) == 0 || r.GetPositions()[0].GetRate() == 0 {
-		t.Error("the ledger is not told of the router's demand")
+		t.Error("the router's demand is not reported to the ledger")
 	}
-	busy.give(1000)
+	busy.grant(1000)
 	busy.Flush(t.Context())
 	before := rs[0].Lender.Wallet.Sum()
-	m, err := busy.Borrower.Reserve(t.Context(), clerks, 100, soon(), 0)
+	m, err := busy.Borrower.Reserve(t.Context(), clerks, 100, testDeadlines(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.Settle(100)
 	if diff := cmp.Diff(before, rs[0].Lender.Wallet.Sum()); diff != "" {
-		t.Errorf("borrowed although its own money was there (-before +after):\n%s", diff)
+		t.Errorf("borrowed although it had tokens (-before +after):\n%s", diff)
 	}
 }
--- a/internal/lending/lender.go
+++ b/internal/lending/lender.go
@@ -15,25 +15,26 @@
 	"sumachead/internal/patience"
 )
 
-// Name is the name under which a [Lender] takes calls.
+// Name is the RPC service name of a [Lender].
 const Name = "Lending"
 
 const (
-	// billsWithin is how long after the caller's deadline a bill may still come: some
-	// cuts between two hosts, as the users tell of them. The money is locked meanwhile.
-	billsWithin = 10 * time.Second
-	// sweepEvery is how often overdue loans are looked for.
-	sweepEvery = time.Second
-	// drainStep is how often a lender that stops looks whether bills are still due.
-	drainStep = 20 * time.Millisecond
+	// billGracePeriod is how long after the caller's deadline a bill may still arrive. It
+	// covers the outages between two hosts that users report. The tokens stay reserved
+	// meanwhile.
+	billGracePeriod = 10 * time.Second
+	// sweepInterval is how often overdue loans are settled.
+	sweepInterval = time.Second
+	// drainPollInterval is how often a stopping lender checks for loans without a bill.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Lender lends the money of a router's wallet. Set the exported fields before Run.
+// Lender lends the tokens of a router's wallet. Set the exported fields before Run.
 type Lender struct {
 	Wallet *escrow.Wallet
-	// Unreached reports whether the ledger is out of this process's reach.
+	// LedgerUnreachable reports whether this process cannot reach the ledger.
 	Unreached func() bool
-	// Overdue is told of money that counts as spent since no bill came.
+	// OnOverdue is called with tokens that count as spent because no bill came.
 	Overdue func(sumachead.Tokens)
 
 	stopping atomic.Bool
@@ -42,31 +43,31 @@
 	loans map[loanKey]*loan
 }
 
-// loanKey names a loan: the borrower's life and a number within it.
+// loanKey identifies a loan by the borrower's incarnation and a number within it.
 type loanKey struct {
 	boot   sumachead.BootID
 	number uint64
 }
 
-// loan is the lender's side of one loan.
+// loan is the lender's state of one loan.
 type loan struct {
 	bound sumachead.Tokens
-	// money is nil while it is waited for, and once the bill is known.
-	money *escrow.Reservation
-	// cancel ends the waiting; nil where nothing waits.
+	// reservation is nil while the loan waits for tokens, and once the bill is known.
+	reservation *escrow.Reservation
+	// cancel stops the wait for tokens; it is nil when none is in progress.
 	cancel context.CancelFunc
-	// ended: the bill is known, also where it came before the loan.
+	// ended is set once the bill is known, even if it arrived before the request for the loan.
 	ended bool
-	// overdueAt is when the loan is settled without a bill, or forgotten if it ended.
+	// overdueAt is when the loan is settled without a bill, or forgotten if it has ended.
 	overdueAt time.Time
 }
 
 // Run settles overdue loans until ctx ends.
 func (l *Lender) Run(ctx context.Context) error {
-	return loop.Every(ctx, sweepEvery, func() { l.sweep(time.Now()) })
+	return loop.Every(ctx, sweepInterval, func() { l.settleOverdue(time.Now()) })
 }
 
-// Reserve makes a loan, or says why not. With Wait set it is held while the money may
+// Reserve makes a loan or replies with a refusal. If Wait is set, it waits while tokens may
 // still come in time.
 func (l *Lender) Reserve(r *wire.LoanRequest, reply *wire.LoanReply) error {
 	if r.GetDeadlineMicros() <= 0 || r.GetBound() <= 0 {
@@ -74,33 +75,33 @@
 	}
 	now := time.Now()
 	if l.stopping.Load() {
-		reply.Refusal = elsewhere("the lender stops")
+		reply.Refusal = refuseElsewhere("the lender stops")
 		return nil
 	}
 	deadline := now.Add(time.Duration(r.GetDeadlineMicros()) * time.Microsecond)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	key := loanKey{sumachead.BootID(r.GetBoot()), r.GetNumber()}
-	n := &loan{bound: sumachead.Tokens(r.GetBound()), cancel: cancel, overdueAt: deadline.Add(billsWithin)}
-	if !l.open(key, n) {
-		reply.Refusal = elsewhere("the loan was ended before")
+	n := &loan{bound: sumachead.Tokens(r.GetBound()), cancel: cancel, overdueAt: deadline.Add(billGracePeriod)}
+	if !l.openLoan(key, n) {
+		reply.Refusal = refuseElsewhere("the loan was ended before")
 		return nil
 	}
-	money, refusal := l.take(ctx, r, deadline, now)
-	reply.Refusal, reply.Short = refusal, money == nil && refusal == nil
-	l.made(key, n, money)
+	reservation, refusal := l.reserveTokens(ctx, r, deadline, now)
+	reply.Refusal, reply.Short = refusal, reservation == nil && refusal == nil
+	l.completeLoan(key, n, reservation)
 	return nil
 }
 
-// take reserves the money in the wallet; without both results there is too little at hand
-// at the moment.
-func (l *Lender) take(ctx context.Context, r *wire.LoanRequest, deadline, now time.Time) (*escrow.Reservation, *wire.LoanRefusal) {
+// reserveTokens reserves the tokens in the wallet. If both results are nil, too little is
+// available now.
+func (l *Lender) reserveTokens(ctx context.Context, r *wire.LoanRequest, deadline, now time.Time) (*escrow.Reservation, *wire.LoanRefusal) {
 	id, bound := sumachead.WorkspaceID(r.GetWorkspace()), sumachead.Tokens(r.GetBound())
 	if m := l.Wallet.Try(id, bound); m != nil {
 		return m, nil
 	}
 	if l.Unreached() {
-		return nil, elsewhere("the lender does not reach the ledger")
+		return nil, refuseElsewhere("the lender does not reach the ledger")
 	}
 	if !r.GetWait() {
 		return nil, nil
@@ -111,13 +112,13 @@
 	}
 	m, err := l.Wallet.Reserve(ctx, id, bound, u, r.GetUrgency())
 	if err != nil {
-		return nil, refusalOf(err, l.Unreached(), time.Now())
+		return nil, refusalToWire(err, l.Unreached(), time.Now())
 	}
 	return m, nil
 }
 
-// open notes a loan that is asked for; false if it has ended already.
-func (l *Lender) open(k loanKey, n *loan) bool {
+// openLoan registers a requested loan. It returns false if the loan has ended already.
+func (l *Lender) openLoan(k loanKey, n *loan) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if old := l.loans[k]; old != nil {
@@ -130,80 +131,79 @@
 	return true
 }
 
-// made puts the money on a loan; where there is none, or its bill has come meanwhile, the
-// loan is over.
-func (l *Lender) made(k loanKey, n *loan, money *escrow.Reservation) {
+// completeLoan sets the loan's reservation. The loan is over if there is none, or if its bill
+// arrived meanwhile.
+func (l *Lender) completeLoan(k loanKey, n *loan, reservation *escrow.Reservation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n.cancel = nil
 	switch {
-	case money == nil:
+	case reservation == nil:
 		delete(l.loans, k)
 	case n.ended:
-		money.Settle(0) // only a borrower without an answer ends a loan so early
+		reservation.Settle(0) // only a borrower that got no reply ends a loan this early
 	default:
-		n.money = money
+		n.reservation = reservation
 	}
 }
 
-// Settle takes in bills. One that comes again, or for a loan that is overdue, changes
-// nothing.
+// Settle applies bills. A duplicate, or a bill for a loan that is overdue, changes nothing.
 func (l *Lender) Settle(r *wire.LoanBills, _ *wire.Empty) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, b := range r.GetBills() {
-		l.settle(loanKey{sumachead.BootID(r.GetBoot()), b.GetNumber()}, sumachead.Tokens(b.GetBill()), time.Now())
+		l.settleLoan(loanKey{sumachead.BootID(r.GetBoot()), b.GetNumber()}, sumachead.Tokens(b.GetBill()), time.Now())
 	}
 	return nil
 }
 
-// settle puts a bill in the place of a loan. The caller holds mu.
-func (l *Lender) settle(k loanKey, bill sumachead.Tokens, now time.Time) {
+// settleLoan settles a loan by its bill. The caller holds mu.
+func (l *Lender) settleLoan(k loanKey, bill sumachead.Tokens, now time.Time) {
 	n := l.loans[k]
 	switch {
 	case n == nil:
 		if l.loans == nil {
 			l.loans = make(map[loanKey]*loan)
 		}
-		// The request for the loan may still be on its way.
-		l.loans[k] = &loan{ended: true, overdueAt: now.Add(billsWithin)}
+		// The request for the loan may arrive later.
+		l.loans[k] = &loan{ended: true, overdueAt: now.Add(billGracePeriod)}
 		return
 	case n.ended:
 		return
-	case n.money != nil:
-		n.money.Settle(bill)
+	case n.reservation != nil:
+		n.reservation.Settle(bill)
 	case n.cancel != nil:
 		n.cancel()
 	}
-	n.ended, n.money, n.overdueAt = true, nil, now.Add(billsWithin)
+	n.ended, n.reservation, n.overdueAt = true, nil, now.Add(billGracePeriod)
 }
 
-// sweep settles loans whose bills are overdue at their bounds, and forgets those that have
+// settleOverdue settles loans whose bills are overdue at their bounds, and forgets loans that
 // ended long ago.
-func (l *Lender) sweep(now time.Time) {
+func (l *Lender) settleOverdue(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, n := range l.loans {
 		if now.Before(n.overdueAt) {
 			continue
 		}
-		if n.money != nil {
-			n.money.Settle(n.bound)
+		if n.reservation != nil {
+			n.reservation.Settle(n.bound)
 			l.Overdue(n.bound)
 		}
 		delete(l.loans, k)
 	}
 }
 
-// Stop makes no loans any more.
+// Stop stops making loans.
 func (l *Lender) Stop() { l.stopping.Store(true) }
 
 // Drain waits until all bills are known or ctx ends. Call it after Stop.
 func (l *Lender) Drain(ctx context.Context) {
-	loop.Until(ctx, drainStep, func() bool { return l.Open() == 0 })
+	loop.Until(ctx, drainPollInterval, func() bool { return l.Open() == 0 })
 }
 
-// Open returns how many loans have no bill yet.
+// OpenLoans returns how many loans have no bill yet.
 func (l *Lender) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,7 +216,7 @@
 	return open
 }
 
-// elsewhere is the refusal of a lender that can't know whether there is money.
-func elsewhere(detail string) *wire.LoanRefusal {
-	return &wire.LoanRefusal{Reason: string(sumachead.ReasonLedgerUnreached), Detail: detail, RetryMicros: never, Elsewhere: true}
+// refuseElsewhere returns the refusal of a lender that cannot tell whether there are tokens.
+func refuseElsewhere(detail string) *wire.LoanRefusal {
+	return &wire.LoanRefusal{Reason: string(sumachead.ReasonLedgerUnreached), Detail: detail, RetryMicros: noRetry, Elsewhere: true}
 }
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -22,29 +22,29 @@
 
 const clerks sumachead.WorkspaceID = "clerks"
 
-// router is a lender and a borrower with one wallet, without a ledger.
+// router is a lender and a borrower with one wallet and no ledger.
 type router struct {
 	*Lender
 	*Borrower
 	address string
-	// cut: the ledger is out of its reach.
-	cut    bool
-	server *rpc.Server
+	// ledgerCut is set while the router cannot reach the ledger.
+	ledgerCut bool
+	server    *rpc.Server
 }
 
-// newRouter returns a router that lends at an address of its own.
-func newRouter(t *testing.T, money sumachead.Tokens) *router {
+// newRouter returns a router that lends at its own address.
+func newRouter(t *testing.T, tokens sumachead.Tokens) *router {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &router{address: lis.Addr().String()}
-	_ = lis.Close() // only its port is wanted
+	_ = lis.Close() // only its port is needed
 	w := &escrow.Wallet{Node: sumachead.NodeID(r.address), Kick: func() {}}
 	w.Open("life")
-	w.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: int64(money), Keep: escrow.NoWish}}}, "life", "", time.Now())
-	unreached := func() bool { return r.cut }
+	w.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: int64(tokens), Keep: escrow.NoWish}}}, "life", "", time.Now())
+	unreached := func() bool { return r.ledgerCut }
 	r.Lender = &Lender{Wallet: w, Unreached: unreached, Overdue: func(sumachead.Tokens) {}}
 	r.Borrower = &Borrower{Self: r.address, Wallet: w, Unreached: unreached, Pool: &rpc.Pool{}, Log: hclog.NewNullLogger()}
 	r.Prepare()
@@ -52,90 +52,90 @@
 	if err := errors.Join(r.server.Register(Name, r.Lender), r.server.Listen()); err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = r.server.Run() }() // ends with Close
+	go func() { _ = r.server.Run() }() // returns after Close
 	t.Cleanup(r.server.Close)
 	return r
 }
 
-// hall returns routers that know each other, the workspace's lender first.
-func hall(t *testing.T, money ...sumachead.Tokens) []*router {
+// newHall returns routers that know each other, the workspace's lender first.
+func newHall(t *testing.T, tokens ...sumachead.Tokens) []*router {
 	t.Helper()
 	var rs []*router
 	var all []string
-	for range money {
+	for range tokens {
 		r := newRouter(t, 0)
 		rs, all = append(rs, r), append(all, r.address)
 	}
-	order := choose(all, clerks, func(string) bool { return true })
+	order := chooseLenders(all, clerks, func(string) bool { return true })
 	slices.SortFunc(rs, func(a, b *router) int { return slices.Index(order, a.address) - slices.Index(order, b.address) })
 	for i, r := range rs {
 		r.Lenders = func() []string { return all }
-		r.give(money[i])
+		r.grant(tokens[i])
 	}
 	return rs
 }
 
-// give grants money as a ledger does.
-func (r *router) give(money sumachead.Tokens) {
+// grant grants tokens as a ledger does.
+func (r *router) grant(tokens sumachead.Tokens) {
 	w := r.Lender.Wallet
-	w.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: int64(money), Keep: escrow.NoWish}}}, "life", "", time.Now())
+	w.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: int64(tokens), Keep: escrow.NoWish}}}, "life", "", time.Now())
 }
 
-// soon is until when answers of the tests' requests are of use.
-func soon() patience.Use {
+// testDeadlines returns the deadlines of the tests' requests.
+func testDeadlines() patience.Use {
 	now := time.Now()
 	return patience.Use{InTime: now.Add(200 * time.Millisecond), Deadline: now.Add(2 * time.Second)}
 }
 
-func TestMoneyIsLentAndSettled(t *testing.T) {
-	rs := hall(t, 1000, 0, 0)
+func TestTokensAreLentAndSettled(t *testing.T) {
+	rs := newHall(t, 1000, 0, 0)
 	lender, borrower := rs[0], rs[1]
-	m, err := borrower.Borrower.Reserve(t.Context(), clerks, 600, soon(), 0)
+	m, err := borrower.Borrower.Reserve(t.Context(), clerks, 600, testDeadlines(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := borrower.Borrower.Reserve(t.Context(), clerks, 600, soon(), 0); err == nil {
-		t.Fatal("money was lent twice")
+	if _, err := borrower.Borrower.Reserve(t.Context(), clerks, 600, testDeadlines(), 0); err == nil {
+		t.Fatal("tokens were lent twice")
 	}
 	m.Settle(250)
 	m.Settle(600) // a second call does nothing
 	borrower.Flush(t.Context())
 	want := escrow.Sum{AtHand: 750, Spent: 250}
 	if diff := cmp.Diff(want, lender.Lender.Wallet.Sum()); diff != "" {
-		t.Errorf("the lender's money (-want +got):\n%s", diff)
+		t.Errorf("the lender's tokens (-want +got):\n%s", diff)
 	}
 	if n := lender.Open(); n != 0 {
 		t.Errorf("%d loans are left", n)
 	}
 	if diff := cmp.Diff(escrow.Sum{}, borrower.Lender.Wallet.Sum()); diff != "" {
-		t.Errorf("the borrower's money (-want +got):\n%s", diff)
+		t.Errorf("the borrower's tokens (-want +got):\n%s", diff)
 	}
 }
 
-// Nobody is refused while a router of the hall has money or a way to the ledger, in far less
-// than a tenth of a second: a router that has lost its own ways asks another at once.
-func TestRouterWithoutAWayGetsMoneyFromAnother(t *testing.T) {
+// No request is refused while a router of the hall has tokens or reaches the ledger, in far
+// less than a tenth of a second: a router that cannot reach the ledger asks another at once.
+func TestRouterCutFromLedgerBorrows(t *testing.T) {
 	tests := []struct {
 		name string
-		// money is what the lenders have, in order, and harm what befalls them.
-		money []sumachead.Tokens
-		harm  func(rs []*router)
-		// asks is which of them has the request.
+		// tokens is what the lenders have, in order; inject applies the fault.
+		tokens []sumachead.Tokens
+		inject func(rs []*router)
+		// asks is the index of the router that has the request.
 		asks int
 	}{
-		{"its own ways are lost, and it is the lender", []sumachead.Tokens{0, 1000, 0}, func(rs []*router) { rs[0].cut = true }, 0},
-		{"its own ways are lost, and another is the lender", []sumachead.Tokens{1000, 0, 0}, func(rs []*router) { rs[2].cut = true }, 2},
-		{"the lender's ways are lost", []sumachead.Tokens{0, 1000, 0}, func(rs []*router) { rs[0].cut = true }, 2},
+		{"cut from the ledger, and itself the lender", []sumachead.Tokens{0, 1000, 0}, func(rs []*router) { rs[0].ledgerCut = true }, 0},
+		{"cut from the ledger, and another is the lender", []sumachead.Tokens{1000, 0, 0}, func(rs []*router) { rs[2].ledgerCut = true }, 2},
+		{"the lender is cut from the ledger", []sumachead.Tokens{0, 1000, 0}, func(rs []*router) { rs[0].ledgerCut = true }, 2},
 		{"the lender is gone", []sumachead.Tokens{1000, 1000, 0}, func(rs []*router) { rs[0].server.Close() }, 2},
 		{"the lender stops", []sumachead.Tokens{1000, 1000, 0}, func(rs []*router) { rs[0].Stop() }, 2},
-		{"two lenders' ways are lost", []sumachead.Tokens{0, 0, 1000}, func(rs []*router) { rs[0].cut, rs[1].cut = true, true }, 1},
+		{"two lenders are cut from the ledger", []sumachead.Tokens{0, 0, 1000}, func(rs []*router) { rs[0].ledgerCut, rs[1].ledgerCut = true, true }, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			rs := hall(t, tt.money...)
-			tt.harm(rs)
+			rs := newHall(t, tt.tokens...)
+			tt.inject(rs)
 			begun := time.Now()
-			m, err := rs[tt.asks].Borrower.Reserve(t.Context(), clerks, 600, soon(), 0)
+			m, err := rs[tt.asks].Borrower.Reserve(t.Context(), clerks, 600, testDeadlines(), 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -147,42 +147,42 @@
 	}
 }
 
-// A lender that takes calls and answers none costs a request little, and the next ones
-// nothing.
-func TestSilentLenderIsPassedOver(t *testing.T) {
-	rs := hall(t, 1000, 1000, 0)
+// A lender that accepts calls and never replies delays the first request a little, and later
+// ones not at all.
+func TestUnresponsiveLenderIsSkipped(t *testing.T) {
+	rs := newHall(t, 1000, 1000, 0)
 	rs[0].server.Close()
 	lis, err := net.Listen("tcp", rs[0].address)
 	if err != nil {
-		t.Skip("the port was taken by another process") // nothing of ours was tried yet
+		t.Skip("the port was taken by another process") // nothing was tested yet
 	}
 	defer func() { _ = lis.Close() }()
-	for i, most := range []time.Duration{2 * answerWithin, answerWithin / 2} {
+	for i, maxDuration := range []time.Duration{2 * firstReplyTimeout, firstReplyTimeout / 2} {
 		begun := time.Now()
-		m, err := rs[2].Borrower.Reserve(t.Context(), clerks, 100, soon(), 0)
+		m, err := rs[2].Borrower.Reserve(t.Context(), clerks, 100, testDeadlines(), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(begun); took > most {
-			t.Errorf("request %d took %v, at most %v expected", i, took, most)
+		if took := time.Since(begun); took > maxDuration {
+			t.Errorf("request %d took %v, want at most %v", i, took, maxDuration)
 		}
 		m.Settle(1)
 	}
 }
 
-// What a lender knows of a budget's end is the answer to the borrower's caller.
-func TestRefusalsAreTheLenders(t *testing.T) {
-	rs := hall(t, 100, 0, 0)
+// The borrower's caller gets the lender's refusal, such as that the budget is exhausted.
+func TestLenderRefusalReachesCaller(t *testing.T) {
+	rs := newHall(t, 100, 0, 0)
 	w := rs[0].Lender.Wallet
-	used := func() { // the ledger says that the budget is used up
+	exhaust := func() { // the ledger says that the budget is exhausted
 		r := w.Report(time.Now(), false)
 		if r == nil {
 			return
 		}
 		w.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: 100, Keep: escrow.NoWish, Exhausted: true}}}, "life", "", time.Now())
 	}
-	w.Kick = func() { go used() }
-	_, err := rs[1].Borrower.Reserve(t.Context(), clerks, 600, soon(), 0)
+	w.Kick = func() { go exhaust() }
+	_, err := rs[1].Borrower.Reserve(t.Context(), clerks, 600, testDeadlines(), 0)
 	var f *sumachead.Refusal
 	if !errors.As(err, &f) {
 		t.Fatalf("error %v", err)
@@ -193,7 +193,7 @@
 	}
 }
 
-// A loan's life, call by call.
+// A loan's states, call by call.
 func TestLoans(t *testing.T) {
 	const bound = 600
 	ask := func(number uint64) *wire.LoanRequest {
@@ -205,7 +205,7 @@
 	type step struct {
 		ask  *wire.LoanRequest
 		bill *wire.LoanBills
-		// after has passed for the sweep.
+		// after has passed when the sweep runs.
 		after time.Duration
 	}
 	tests := []struct {
@@ -217,12 +217,12 @@
 		{"billed", []step{{ask: ask(1)}, {bill: bill(1, 50)}}, escrow.Sum{AtHand: 950, Spent: 50}},
 		{"billed twice", []step{{ask: ask(1)}, {bill: bill(1, 50)}, {bill: bill(1, 70)}}, escrow.Sum{AtHand: 950, Spent: 50}},
 		{"billed above its bound", []step{{ask: ask(1)}, {bill: bill(1, 700)}}, escrow.Sum{AtHand: 400, Spent: 600}},
-		{"ended before it was asked for", []step{{bill: bill(1, 0)}, {ask: ask(1)}}, escrow.Sum{AtHand: 1000}},
-		{"asked for twice", []step{{ask: ask(1)}, {ask: ask(1)}}, escrow.Sum{AtHand: 400, Reserved: 600}},
-		{"too little at hand", []step{{ask: ask(1)}, {ask: ask(2)}}, escrow.Sum{AtHand: 400, Reserved: 600}},
-		{"the bill is due a little longer", []step{{ask: ask(1)}, {after: billsWithin}}, escrow.Sum{AtHand: 400, Reserved: 600}},
-		{"the bill is overdue", []step{{ask: ask(1)}, {after: billsWithin + 2*time.Second}}, escrow.Sum{AtHand: 400, Spent: 600}},
-		{"a bill after that", []step{{ask: ask(1)}, {after: billsWithin + 2*time.Second}, {bill: bill(1, 5)}}, escrow.Sum{AtHand: 400, Spent: 600}},
+		{"ended before the request", []step{{bill: bill(1, 0)}, {ask: ask(1)}}, escrow.Sum{AtHand: 1000}},
+		{"requested twice", []step{{ask: ask(1)}, {ask: ask(1)}}, escrow.Sum{AtHand: 400, Reserved: 600}},
+		{"too few tokens available", []step{{ask: ask(1)}, {ask: ask(2)}}, escrow.Sum{AtHand: 400, Reserved: 600}},
+		{"the bill is not overdue yet", []step{{ask: ask(1)}, {after: billGracePeriod}}, escrow.Sum{AtHand: 400, Reserved: 600}},
+		{"the bill is overdue", []step{{ask: ask(1)}, {after: billGracePeriod + 2*time.Second}}, escrow.Sum{AtHand: 400, Spent: 600}},
+		{"a bill after that", []step{{ask: ask(1)}, {after: billGracePeriod + 2*time.Second}, {bill: bill(1, 5)}}, escrow.Sum{AtHand: 400, Spent: 600}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -235,39 +235,39 @@
 				case s.bill != nil:
 					err = r.Settle(s.bill, &wire.Empty{})
 				default:
-					r.sweep(time.Now().Add(s.after))
+					r.settleOverdue(time.Now().Add(s.after))
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
 			}
 			if diff := cmp.Diff(tt.want, r.Lender.Wallet.Sum()); diff != "" {
-				t.Errorf("the lender's money (-want +got):\n%s", diff)
+				t.Errorf("the lender's tokens (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A borrower that gives up while the lender waits leaves nothing locked.
-func TestGivenUpLoanIsReleased(t *testing.T) {
-	rs := hall(t, 100, 0)
+// A borrower that gives up while the lender waits leaves no tokens reserved.
+func TestAbandonedLoanIsReleased(t *testing.T) {
+	rs := newHall(t, 100, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Millisecond)
 	defer cancel()
 	u := patience.Use{Deadline: time.Now().Add(time.Minute)}
 	if _, err := rs[1].Borrower.Reserve(ctx, clerks, 600, u, 0); err == nil {
-		t.Fatal("lent more than there was")
+		t.Fatal("lent more than available")
 	}
 	rs[1].Flush(t.Context())
-	rs[0].give(1000)
-	m, err := rs[1].Borrower.Reserve(t.Context(), clerks, 1000, soon(), 0)
+	rs[0].grant(1000)
+	m, err := rs[1].Borrower.Reserve(t.Context(), clerks, 1000, testDeadlines(), 0)
 	if err != nil {
-		t.Fatalf("money is locked by a request that was given up: %v", err)
+		t.Fatalf("tokens are reserved by a request that was given up: %v", err)
 	}
 	m.Settle(0)
 }
 
-// All routers bring a workspace to the same lender; of many, each gets its share.
-func TestChoose(t *testing.T) {
+// All routers choose the same lender for a workspace, and each of many lenders gets its share.
+func TestChooseLenders(t *testing.T) {
 	var lenders []string
 	for i := range 20 {
 		lenders = append(lenders, fmt.Sprint("10.0.0.", i, ":1"))
@@ -276,16 +276,16 @@
 	const workspaces = 2000
 	for i := range workspaces {
 		w := sumachead.WorkspaceID(fmt.Sprint("w", i))
-		all := choose(lenders, w, func(string) bool { return true })
+		all := chooseLenders(lenders, w, func(string) bool { return true })
 		count[all[0]]++
 		reversed := slices.Clone(lenders)
 		slices.Reverse(reversed)
-		if diff := cmp.Diff(all, choose(reversed, w, func(string) bool { return true })); diff != "" {
-			t.Fatalf("another order of the list chooses others (-one +other):\n%s", diff)
+		if diff := cmp.Diff(all, chooseLenders(reversed, w, func(string) bool { return true })); diff != "" {
+			t.Fatalf("the order of the list changes the choice (-original +reversed):\n%s", diff)
 		}
-		without := choose(lenders, w, func(l string) bool { return l != all[0] })
+		without := chooseLenders(lenders, w, func(l string) bool { return l != all[0] })
 		if diff := cmp.Diff(all[1:], without[:len(all)-1]); diff != "" {
-			t.Fatalf("the next lender is another where the first is passed over (-want +got):\n%s", diff)
+			t.Fatalf("the next lender changes if the first is skipped (-want +got):\n%s", diff)
 		}
 	}
 	for l, n := range count {
--- a/internal/lending/refusal.go
+++ b/internal/lending/refusal.go
@@ -7,15 +7,15 @@
 	"sumachead/api/wire"
 )
 
-// never stands for a time to come back where there is none.
-const never = -1
+// noRetry is the value of RetryMicros when there is no time to retry.
+const noRetry = -1
 
-// refusalOf puts a refusal into words for the borrower. One that names the ledger is no
-// answer of a lender that does not reach it.
-func refusalOf(err error, unreached bool, now time.Time) *wire.LoanRefusal {
+// refusalToWire encodes a refusal for the borrower. One for an unreachable ledger is not final
+// if this lender cannot reach it: another lender may be able to.
+func refusalToWire(err error, unreached bool, now time.Time) *wire.LoanRefusal {
 	f := sumachead.AsRefusal(err)
 	out := &wire.LoanRefusal{
-		Reason: string(f.Reason), Detail: f.Detail, RetryMicros: never,
+		Reason: string(f.Reason), Detail: f.Detail, RetryMicros: noRetry,
 		Elsewhere: unreached && f.Reason == sumachead.ReasonLedgerUnreached,
 	}
 	if !f.RetryAt.IsZero() {
@@ -24,8 +24,8 @@
 	return out
 }
 
-// refusalFrom reads a lender's refusal: nothing has run without money.
-func refusalFrom(r *wire.LoanRefusal, now time.Time) *sumachead.Refusal {
+// refusalFromWire decodes a lender's refusal. Nothing has run without tokens.
+func refusalFromWire(r *wire.LoanRefusal, now time.Time) *sumachead.Refusal {
 	var at time.Time
 	if r.GetRetryMicros() >= 0 {
 		at = now.Add(time.Duration(r.GetRetryMicros()) * time.Microsecond)
