--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,6 +1,6 @@
-// Package outbox brings small messages to many addresses: what comes while a call to an
-// address is under way goes along with the next one, so that a busy address gets few calls
-// and an idle one gets each message at once.
+// Package outbox sends small messages to many addresses. Messages that come while a call to an
+// address is in progress are sent with the next one, so that a busy address gets few calls and
+// an idle one gets each message at once.
 package outbox
 
 import (
@@ -11,25 +11,26 @@
 	"sumachead/internal/loop"
 )
 
-// flushStep is how often [Outbox.Flush] looks.
-const flushStep = 20 * time.Millisecond
+// flushPollInterval is how often [Outbox.Flush] checks for pending messages.
+const flushPollInterval = 20 * time.Millisecond
 
-// Outbox holds what is on its way to each key, oldest first. Set the exported fields before
+// Outbox holds the pending messages of each key, oldest first. Set the exported fields before
 // the first call; it is safe for concurrent use.
 type Outbox[K comparable, T any] struct {
-	// Most bounds the messages of one call.
+	// MaxBatch bounds the messages of one call.
 	Most int
-	// Send makes one call, and returns what is to be brought again, after a pause.
-	Send func(to K, batch []T) (again []T, pause time.Duration)
+	// Send makes one call, and returns the messages to send again and the delay before the next
+	// call.
+	Send func(to K, batch []T) (retry []T, delay time.Duration)
 
 	mu     sync.Mutex // guards queues
 	queues map[K]*queue[T]
 }
 
-// queue is what is on its way to one key; it exists while a goroutine brings it.
+// queue holds the pending messages of one key; it exists while a goroutine sends them.
 type queue[T any] struct{ waiting []T }
 
-// Put brings a message, without waiting for that.
+// Put queues a message and does not wait.
 func (o *Outbox[K, T]) Put(to K, message T) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -40,31 +41,31 @@
 	if q == nil {
 		q = &queue[T]{}
 		o.queues[to] = q
-		go o.bring(to, q)
+		go o.deliver(to, q)
 	}
 	q.waiting = append(q.waiting, message)
 }
 
-// bring makes calls until nothing waits.
-func (o *Outbox[K, T]) bring(to K, q *queue[T]) {
+// deliver makes calls until no messages are pending.
+func (o *Outbox[K, T]) deliver(to K, q *queue[T]) {
 	for {
 		batch := o.next(to, q)
 		if len(batch) == 0 {
 			return
 		}
-		again, pause := o.Send(to, batch)
-		if len(again) > 0 {
+		retry, delay := o.Send(to, batch)
+		if len(retry) > 0 {
 			o.mu.Lock()
-			q.waiting = append(again, q.waiting...)
+			q.waiting = append(retry, q.waiting...)
 			o.mu.Unlock()
 		}
-		if pause > 0 {
-			time.Sleep(pause)
+		if delay > 0 {
+			time.Sleep(delay)
 		}
 	}
 }
 
-// next takes the messages of the next call; without any the queue ends.
+// next takes the messages of the next call. If there are none, it deletes the queue.
 func (o *Outbox[K, T]) next(to K, q *queue[T]) []T {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -78,9 +79,9 @@
 	return batch
 }
 
-// Flush waits until nothing is on its way, or ctx ends.
+// Flush waits until no messages are pending, or ctx ends.
 func (o *Outbox[K, T]) Flush(ctx context.Context) {
-	loop.Until(ctx, flushStep, func() bool {
+	loop.Until(ctx, flushPollInterval, func() bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		return len(o.queues) == 0
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -9,17 +9,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// calls keeps what was sent, by key.
+// calls records what was sent, by key.
 type calls struct {
 	mu   sync.Mutex
 	sent map[string][][]int
-	// gate holds the first call of a key up until it is closed.
+	// gate blocks the first call of a key until it is closed.
 	gate chan struct{}
-	// fail is how many calls fail before one is taken.
+	// fail is how many calls fail before one succeeds.
 	fail int
 }
 
-func (c *calls) send(to string, batch []int) (again []int, pause time.Duration) {
+func (c *calls) send(to string, batch []int) (retry []int, delay time.Duration) {
 	c.mu.Lock()
 	first := len(c.sent[to]) == 0
 	c.sent[to] = append(c.sent[to], append([]int(nil), batch...))
@@ -37,23 +37,23 @@
 	return nil, 0
 }
 
-func TestMessagesGoInOrderAndTogether(t *testing.T) {
+func TestMessagesAreBatchedInOrder(t *testing.T) {
 	tests := []struct {
-		name string
-		most int
-		fail int
-		want [][]int
+		name     string
+		maxBatch int
+		fail     int
+		want     [][]int
 	}{
-		{"what comes during a call goes together", 10, 0, [][]int{{1}, {2, 3, 4, 5}}},
-		{"within a bound", 2, 0, [][]int{{1}, {2, 3}, {4, 5}}},
-		{"what was not taken goes first", 10, 1, [][]int{{1}, {1, 2, 3, 4, 5}}},
+		{"messages during a call are batched", 10, 0, [][]int{{1}, {2, 3, 4, 5}}},
+		{"batch size is bounded", 2, 0, [][]int{{1}, {2, 3}, {4, 5}}},
+		{"failed messages are sent first", 10, 1, [][]int{{1}, {1, 2, 3, 4, 5}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := &calls{sent: make(map[string][][]int), gate: make(chan struct{}), fail: tt.fail}
-			o := &Outbox[string, int]{Most: tt.most, Send: c.send}
+			o := &Outbox[string, int]{Most: tt.maxBatch, Send: c.send}
 			o.Put("a", 1)
-			for { // until the first call is under way
+			for { // until the first call is in progress
 				c.mu.Lock()
 				n := len(c.sent["a"])
 				c.mu.Unlock()
@@ -69,7 +69,7 @@
 			defer cancel()
 			o.Flush(ctx)
 			if ctx.Err() == nil {
-				t.Fatal("flushed while a call was under way")
+				t.Fatal("flushed while a call was in progress")
 			}
 			close(c.gate)
 			o.Flush(t.Context())
@@ -80,8 +80,8 @@
 	}
 }
 
-// A key that is slow holds no other one up.
-func TestKeysAreApart(t *testing.T) {
+// A slow key must not delay other keys.
+func TestSlowKeyDoesNotDelayOthers(t *testing.T) {
 	gate := make(chan struct{})
 	done := make(chan int, 1)
 	o := &Outbox[string, int]{Most: 1, Send: func(to string, batch []int) ([]int, time.Duration) {
@@ -97,7 +97,7 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("held up by another key")
+		t.Fatal("delayed by another key")
 	}
 	close(gate)
 	o.Flush(t.Context())
