--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -1,11 +1,11 @@
-// Package gauge runs beside a model engine and answers routers that are about to choose
-// one: what all of them have under way there ([place.Gauge]).
+// Package gauge runs beside a model engine and tells routers that are about to choose one what
+// all of them have in flight there ([place.LoadTracker]).
 //
-// Routers tell it when they send a request, when its answer begins, and when it ends; a
-// router that gets no answer in time chooses by what it knows itself. It also grants the
+// Routers notify it when they send a request, when its response begins, and when it ends. A
+// router that gets no reply in time chooses by what it knows itself. The package also grants
 // permits for requests to servers that are cold or limit requests ([ratelimit.Permits]): to its
-// engine, and to servers of plain services that routers assign to it. It keeps nothing on
-// disk, and passes nothing on.
+// engine, and to servers of plain services that routers assign to it. It stores nothing on disk
+// and forwards nothing.
 package gauge
 
 import (
@@ -22,20 +22,20 @@
 	"sumachead/internal/warmup"
 )
 
-// Name is the name under which a [Service] takes calls.
+// Name is the RPC service name of a [Service].
 const Name = "Gauge"
 
 const (
-	// limitTimeout is how long a request limit is remembered that no router mentions.
+	// limitTimeout is how long a request limit is kept that no router reports.
 	limitTimeout = time.Minute
-	// maxLimits bounds the servers whose limits are remembered before old ones are dropped.
+	// maxLimits bounds the servers whose limits are kept before old ones are dropped.
 	maxLimits = 64
 )
 
-// Service takes routers' calls. Set the exported field before the first call.
+// Service serves routers' calls. Set the exported field before the first call.
 type Service struct {
-	// Since is when this process began to count; what an earlier one has granted may
-	// still be on its way.
+	// Since is when this process began to count; permits of an earlier incarnation may still be
+	// in use.
 	Since time.Time
 
 	gauge  place.Gauge
@@ -45,7 +45,7 @@
 	permits ratelimit.Permits
 }
 
-// Ask answers a router that is about to choose.
+// Ask answers a router that is about to choose a server.
 func (s *Service) Ask(q *wire.GaugeQuestion, answer *wire.GaugeAnswer) error {
 	a := s.gauge.Answer(q, time.Now())
 	proto.Merge(answer, a)
@@ -53,11 +53,11 @@
 	return nil
 }
 
-// Note takes in what a router tells of its requests.
+// Note records what a router reports of its requests.
 func (s *Service) Note(n *wire.GaugeNotes, _ *wire.Empty) error {
 	s.gauge.Note(n, time.Now())
 	for _, x := range n.GetNotes() {
-		s.noteLimit(sumachead.ServerID(n.GetServer()), x.GetLimit())
+		s.mergeLimit(sumachead.ServerID(n.GetServer()), x.GetLimit())
 	}
 	return nil
 }
@@ -65,24 +65,24 @@
 // Admit grants a router a permit for one request to a server that is cold or limits requests.
 func (s *Service) Admit(r *wire.AdmitRequest, reply *wire.AdmitReply) error {
 	id := sumachead.ServerID(r.GetIncarnation())
-	s.noteLimit(id, r.GetLimit())
+	s.mergeLimit(id, r.GetLimit())
 	limit := s.limits.Get(id)
 	b := warmup.Bound{Rate: r.GetRate(), Burst: r.GetBurst()}
-	granted, again := s.admit(r.GetServer(), b.And(ratelimit.BoundOf(limit.Rate)), r.GetUrgency())
-	reply.Granted, reply.AgainMicros = granted, again.Microseconds()
+	granted, retryAfter := s.admit(r.GetServer(), b.And(ratelimit.BoundOf(limit.Rate)), r.GetUrgency())
+	reply.Granted, reply.AgainMicros = granted, retryAfter.Microseconds()
 	reply.Limit = limit.ToWire(boottime.Clock{}.Now())
 	return nil
 }
 
-func (s *Service) admit(server string, b warmup.Bound, urgency uint32) (granted bool, again time.Duration) {
+func (s *Service) admit(server string, b warmup.Bound, urgency uint32) (granted bool, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.permits.Since = s.Since
 	return s.permits.Admit(server, b, urgency, time.Now())
 }
 
-// noteLimit takes in what a router knows of a server's request limit.
-func (s *Service) noteLimit(id sumachead.ServerID, m *wire.LimitObservation) {
+// mergeLimit records a router's observation of a server's request limit.
+func (s *Service) mergeLimit(id sumachead.ServerID, m *wire.LimitObservation) {
 	if m == nil || id == "" {
 		return
 	}
--- a/internal/gauge/gauge_test.go
+++ b/internal/gauge/gauge_test.go
@@ -11,39 +11,40 @@
 	"sumachead/api/wire"
 )
 
-// limit is an observation of a limit, so long ago.
+// limit returns an observation of a limit that was made age ago.
 func limit(rate float64, age time.Duration) *wire.LimitObservation {
 	return &wire.LimitObservation{Rate: rate, AgeMicros: age.Microseconds()}
 }
 
-// The newest observation of a limit holds, whether a router reports it or asks for a permit with it.
+// The newest observation of a limit is in force, whether a router reports it or asks for a
+// permit with it.
 func TestServiceKeepsTheNewestLimit(t *testing.T) {
 	tests := []struct {
 		name string
-		// noted are reported in order, and asked comes with the question for a permit.
-		noted []*wire.LimitObservation
-		asked *wire.LimitObservation
-		want  float64
+		// reported are sent in order, and withPermit comes with the request for a permit.
+		reported   []*wire.LimitObservation
+		withPermit *wire.LimitObservation
+		want       float64
 	}{
 		{"nothing known", nil, nil, 0},
 		{"reported", []*wire.LimitObservation{limit(2, time.Second)}, nil, 2},
-		{"with the question", nil, limit(3, 0), 3},
-		{"an older one comes late", []*wire.LimitObservation{limit(2, time.Second), limit(5, time.Minute)}, nil, 2},
-		{"the end of a limit", []*wire.LimitObservation{limit(2, time.Minute), limit(0, time.Second)}, nil, 0},
-		{"a router that has not heard of the end", []*wire.LimitObservation{limit(2, time.Minute), limit(0, time.Second)}, limit(2, time.Minute), 0},
-		{"named again", []*wire.LimitObservation{limit(0, time.Minute)}, limit(1, time.Second), 1},
+		{"with the permit request", nil, limit(3, 0), 3},
+		{"an older observation arrives late", []*wire.LimitObservation{limit(2, time.Second), limit(5, time.Minute)}, nil, 2},
+		{"the limit ends", []*wire.LimitObservation{limit(2, time.Minute), limit(0, time.Second)}, nil, 0},
+		{"a router that does not know the limit ended", []*wire.LimitObservation{limit(2, time.Minute), limit(0, time.Second)}, limit(2, time.Minute), 0},
+		{"reported again", []*wire.LimitObservation{limit(0, time.Minute)}, limit(1, time.Second), 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := &Service{Since: time.Now().Add(-time.Minute)}
-			for _, x := range tt.noted {
+			for _, x := range tt.reported {
 				n := &wire.GaugeNotes{Router: "r", Server: "e", Notes: []*wire.GaugeNote{{Note: &wire.GaugeNote_Limit{Limit: x}}}}
 				if err := s.Note(n, &wire.Empty{}); err != nil {
 					t.Fatal(err)
 				}
 			}
 			var permit wire.AdmitReply
-			if err := s.Admit(&wire.AdmitRequest{Server: "e", Incarnation: "e", Limit: tt.asked}, &permit); err != nil {
+			if err := s.Admit(&wire.AdmitRequest{Server: "e", Incarnation: "e", Limit: tt.withPermit}, &permit); err != nil {
 				t.Fatal(err)
 			}
 			if d := cmp.Diff(tt.want, permit.GetLimit().GetRate()); d != "" {
@@ -57,13 +58,13 @@
 				t.Fatal(err)
 			}
 			if d := cmp.Diff(tt.want, answer.GetLimit().GetRate()); d != "" {
-				t.Errorf("limit that another router is told (-want +got):\n%s", d)
+				t.Errorf("limit reported to another router (-want +got):\n%s", d)
 			}
 		})
 	}
 }
 
-// A server that is cold and limits requests gets what both bounds allow.
+// A server that is cold and limits requests gets the lower of both bounds.
 func TestServiceGrantsWhatBothBoundsAllow(t *testing.T) {
 	tests := []struct {
 		name              string
@@ -100,11 +101,11 @@
 	}
 }
 
-// Observations that nobody mentions any more are dropped.
+// Observations that no router reports any more are dropped.
 func TestServiceForgetsOldLimits(t *testing.T) {
 	s := &Service{Since: time.Now()}
 	for i := range 3 * maxLimits {
-		s.noteLimit(sumachead.ServerID(fmt.Sprint("e", i)), limit(1, 2*limitTimeout))
+		s.mergeLimit(sumachead.ServerID(fmt.Sprint("e", i)), limit(1, 2*limitTimeout))
 	}
 	if n := s.limits.Len(); n > maxLimits {
 		t.Errorf("%d limits are kept, want %d at most", n, maxLimits)
