--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -36,7 +36,7 @@
 
 // BenchmarkEscrowReport sizes and applies the reports of all routers.
 func BenchmarkEscrowReport(b *testing.B) {
-	book, sizer := escrow.NewBook(), &escrow.Sizer{}
+	book, sizer := escrow.NewLedger(), &escrow.Allocator{}
 	totals := make(map[sumachead.WorkspaceID]sumachead.Tokens)
 	for i := range designWorkspaces {
 		totals[sumachead.WorkspaceID(fmt.Sprint("workspace-", i))] = 1 << 40
@@ -47,8 +47,8 @@
 	runtime.ReadMemStats(&before)
 	one := func(i int) {
 		r := escrowReport(i % designRouters)
-		sizer.Note(r, now)
-		grants, _ := sizer.Size(book, r, now)
+		sizer.RecordReport(r, now)
+		grants, _ := sizer.Allocate(book, r, now)
 		book.Apply(&wire.EscrowGrant{Report: r, Grants: grants})
 	}
 	for i := range designRouters {
--- a/internal/escrow/asking.go
+++ b/internal/escrow/asking.go
@@ -20,7 +20,7 @@
 }
 
 // reclaimsOf returns the node's reclaim state. The caller holds mu.
-func (s *Sizer) reclaimsOf(n sumachead.NodeID) *reclaimState {
+func (s *Allocator) reclaimsOf(n sumachead.NodeID) *reclaimState {
 	if s.reclaims == nil {
 		s.reclaims = make(map[sumachead.NodeID]*reclaimState)
 	}
@@ -32,7 +32,7 @@
 
 // reclaimFromOthers asks the holders of a workspace's tokens, except the one that is short, to
 // return what they have available. The caller holds mu.
-func (s *Sizer) reclaimFromOthers(b *Book, w sumachead.WorkspaceID, by Holder, now time.Time) {
+func (s *Allocator) reclaimFromOthers(b *Ledger, w sumachead.WorkspaceID, by Holder, now time.Time) {
 	for h, x := range b.Holdings(w) {
 		if h == by || x.Outstanding() <= x.Spent || !s.isLive(h) {
 			continue
@@ -48,7 +48,7 @@
 
 // ReclaimRequests lists the workspaces whose available tokens a node is asked to return because
 // another holder is short, and returns a channel that is closed when a workspace is added.
-func (s *Sizer) Lacking(n sumachead.NodeID, now time.Time) (ws []string, changed <-chan struct{}) {
+func (s *Allocator) ReclaimRequests(n sumachead.NodeID, now time.Time) (ws []string, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.reclaimsOf(n)
--- a/internal/escrow/book.go
+++ b/internal/escrow/book.go
@@ -70,7 +70,7 @@
 }
 
 // Ledger is the escrow ledger's state. It is deterministic and not safe for concurrent use.
-type Book struct {
+type Ledger struct {
 	// totals are the workspaces' budgets; a workspace without a limit has no entry.
 	totals   map[sumachead.WorkspaceID]sumachead.Tokens
 	accounts map[sumachead.WorkspaceID]*account
@@ -79,8 +79,8 @@
 }
 
 // NewLedger returns a ledger without budgets.
-func NewBook() *Book {
-	return &Book{
+func NewLedger() *Ledger {
+	return &Ledger{
 		totals:   make(map[sumachead.WorkspaceID]sumachead.Tokens),
 		accounts: make(map[sumachead.WorkspaceID]*account),
 		boots:    make(map[sumachead.NodeID]sumachead.BootID),
@@ -89,13 +89,13 @@
 
 // SetTotals replaces the workspaces' totals. Accounts of workspaces that are not listed are
 // kept, so that a workspace that is added back still counts what it spent.
-func (b *Book) SetTotals(totals map[sumachead.WorkspaceID]sumachead.Tokens) {
+func (b *Ledger) SetTotals(totals map[sumachead.WorkspaceID]sumachead.Tokens) {
 	b.totals = maps.Clone(totals)
 }
 
 // Unallocated returns what may still be granted. It is below 0 after the total was lowered
 // below what is granted.
-func (b *Book) Free(w sumachead.WorkspaceID) sumachead.Tokens {
+func (b *Ledger) Unallocated(w sumachead.WorkspaceID) sumachead.Tokens {
 	unallocated := b.totals[w]
 	if a := b.accounts[w]; a != nil {
 		unallocated -= a.closed + a.outstanding
@@ -104,14 +104,14 @@
 }
 
 // Total returns a workspace's total; limited is false when it has none.
-func (b *Book) Total(w sumachead.WorkspaceID) (total sumachead.Tokens, limited bool) {
+func (b *Ledger) Total(w sumachead.WorkspaceID) (total sumachead.Tokens, limited bool) {
 	total, limited = b.totals[w]
 	return total, limited
 }
 
 // acceptsReport reports whether the report is from the node's current incarnation, or from a
 // new one that holds nothing yet.
-func (b *Book) acceptsReport(r *wire.EscrowReport) bool {
+func (b *Ledger) acceptsReport(r *wire.EscrowReport) bool {
 	if b.boots[sumachead.NodeID(r.GetNode())] == sumachead.BootID(r.GetBoot()) {
 		return true
 	}
@@ -126,7 +126,7 @@
 // Apply records a report and grants at most what is unallocated. The reply to a closed
 // incarnation says that it is closed. Reports may be duplicated or reordered, since their
 // amounts only grow.
-func (b *Book) Apply(g *wire.EscrowGrant) *wire.EscrowReply {
+func (b *Ledger) Apply(g *wire.EscrowGrant) *wire.EscrowReply {
 	r := g.GetReport()
 	if !b.acceptsReport(r) {
 		return &wire.EscrowReply{Closed: true}
@@ -141,7 +141,7 @@
 		}
 		granted := b.applyPosition(h, p, grant)
 		reply.Answers = append(reply.Answers, &wire.EscrowAnswer{
-			Workspace: p.GetWorkspace(), Granted: int64(granted), Keep: NoWish,
+			Workspace: p.GetWorkspace(), Granted: int64(granted), Keep: KeepAll,
 		})
 	}
 	if r.GetClosing() {
@@ -154,7 +154,7 @@
 
 // startIncarnation makes h the current incarnation of its node. The previous one can spend no
 // more; whatever it held and did not report counts as spent.
-func (b *Book) startIncarnation(h Holder) {
+func (b *Ledger) startIncarnation(h Holder) {
 	old, ok := b.boots[h.Node]
 	if ok && old == h.Boot {
 		return
@@ -167,7 +167,7 @@
 
 // closeHolder removes a holder from all accounts. If its report is final, it returns what it
 // has not spent; otherwise all that it held counts as spent.
-func (b *Book) closeHolder(h Holder, final bool) {
+func (b *Ledger) closeHolder(h Holder, final bool) {
 	for _, a := range b.accounts {
 		x, ok := a.holdings[h]
 		if !ok {
@@ -183,7 +183,7 @@
 }
 
 // applyPosition records one position and returns the holder's total grant.
-func (b *Book) applyPosition(h Holder, p *wire.EscrowPosition, grant sumachead.Tokens) sumachead.Tokens {
+func (b *Ledger) applyPosition(h Holder, p *wire.EscrowPosition, grant sumachead.Tokens) sumachead.Tokens {
 	w := sumachead.WorkspaceID(p.GetWorkspace())
 	a := b.accounts[w]
 	if a == nil {
@@ -192,13 +192,13 @@
 	}
 	x := a.holdings[h].withReport(p)
 	a.put(h, x)
-	x.Granted += max(0, min(grant, b.Free(w)))
+	x.Granted += max(0, min(grant, b.Unallocated(w)))
 	a.put(h, x)
 	return x.Granted
 }
 
 // Holdings returns each holder's share of a workspace's budget.
-func (b *Book) Holdings(w sumachead.WorkspaceID) map[Holder]Holding {
+func (b *Ledger) Holdings(w sumachead.WorkspaceID) map[Holder]Holding {
 	if a := b.accounts[w]; a != nil {
 		return a.holdings
 	}
@@ -207,7 +207,7 @@
 
 // Spent returns an upper bound of what a workspace has spent: the reported spending of holders
 // that are live, and everything that other holders hold.
-func (b *Book) Spent(w sumachead.WorkspaceID, live func(Holder) bool) sumachead.Tokens {
+func (b *Ledger) Spent(w sumachead.WorkspaceID, live func(Holder) bool) sumachead.Tokens {
 	a := b.accounts[w]
 	if a == nil {
 		return 0
@@ -224,7 +224,7 @@
 }
 
 // Snapshot returns the accounts sorted by workspace.
-func (b *Book) Snapshot() []*wire.AccountState {
+func (b *Ledger) Snapshot() []*wire.AccountState {
 	var out []*wire.AccountState
 	for _, w := range slices.Sorted(maps.Keys(b.accounts)) {
 		a := b.accounts[w]
@@ -247,7 +247,7 @@
 }
 
 // Restore replaces the accounts.
-func (b *Book) Restore(accounts []*wire.AccountState) {
+func (b *Ledger) Restore(accounts []*wire.AccountState) {
 	b.accounts = make(map[sumachead.WorkspaceID]*account)
 	b.boots = make(map[sumachead.NodeID]sumachead.BootID)
 	for _, s := range accounts {
--- a/internal/escrow/ends_test.go
+++ b/internal/escrow/ends_test.go
@@ -61,7 +61,7 @@
 	}
 	ask(20_000) // asks the ledger, without success
 	h.report(l, time.Now())
-	h.Touch([]sumachead.WorkspaceID{clerks})
+	h.IncludeInReport([]sumachead.WorkspaceID{clerks})
 	h.report(l, time.Now())
 	h.report(l, time.Now())
 	if _, reason := ask(20_000); reason != sumachead.ReasonBudgetExhausted {
--- a/internal/escrow/escrow_test.go
+++ b/internal/escrow/escrow_test.go
@@ -23,7 +23,7 @@
 }
 
 func newHolder(node sumachead.NodeID, boot sumachead.BootID) *holder {
-	h := &holder{&Wallet{Node: node, Kick: func() {}}, boot}
+	h := &holder{&Wallet{Node: node, RequestReport: func() {}}, boot}
 	h.Open(boot)
 	h.balance(clerks)
 	return h
@@ -31,19 +31,19 @@
 
 // testLedger is a ledger with its allocator.
 type testLedger struct {
-	state     *Book
-	allocator *Sizer
+	state     *Ledger
+	allocator *Allocator
 }
 
 func newLedger(total sumachead.Tokens) *testLedger {
-	l := &testLedger{NewBook(), &Sizer{}}
+	l := &testLedger{NewLedger(), &Allocator{}}
 	l.state.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: total})
 	return l
 }
 
 func (l *testLedger) apply(r *wire.EscrowReport, now time.Time) *wire.EscrowReply {
-	l.allocator.Note(r, now)
-	grants, advice := l.allocator.Size(l.state, r, now)
+	l.allocator.RecordReport(r, now)
+	grants, advice := l.allocator.Allocate(l.state, r, now)
 	reply := l.state.Apply(&wire.EscrowGrant{Report: r, Grants: grants})
 	for i, a := range reply.GetAnswers() {
 		a.Keep, a.Exhausted = advice[i].GetKeep(), advice[i].GetExhausted()
@@ -57,7 +57,7 @@
 	if r == nil {
 		return false
 	}
-	return h.Take(l.apply(r, now), h.boot, h.boot+"'", now)
+	return h.ApplyReply(l.apply(r, now), h.boot, h.boot+"'", now)
 }
 
 // spend reserves and settles at once. It returns false if it was refused.
@@ -97,24 +97,24 @@
 		h.report(l, now)
 		now = now.Add(50 * time.Millisecond)
 	}
-	before := h.AtHand(clerks)
+	before := h.Available(clerks)
 	reports := 0
 	const idle, step, reportInterval = 30 * time.Second, 30 * time.Millisecond, 3 * time.Second
 	for at := time.Duration(0); at < idle; at += step {
 		now = now.Add(step)
 		if at%reportInterval == 0 {
-			h.Touch([]sumachead.WorkspaceID{clerks}) // occasionally a report is due
+			h.IncludeInReport([]sumachead.WorkspaceID{clerks}) // occasionally a report is due
 		}
 		if r := h.Report(now, false); r != nil {
 			reports++
-			h.Take(l.apply(r, now), h.boot, "", now)
+			h.ApplyReply(l.apply(r, now), h.boot, "", now)
 		}
 	}
 	const maxReports = 25
 	if reports > maxReports {
 		t.Errorf("%d reports, at most %d expected", reports, maxReports)
 	}
-	if after := h.AtHand(clerks); after > before/4 {
+	if after := h.Available(clerks); after > before/4 {
 		t.Errorf("%d of %d is still available", after, before)
 	}
 }
@@ -125,16 +125,16 @@
 	now := time.Now()
 	idle.spend(90_000, 0) // makes it request 90,000
 	idle.report(l, now)
-	if idle.AtHand(clerks) < 90_000 {
-		t.Fatalf("the idle holder has %d", idle.AtHand(clerks))
+	if idle.Available(clerks) < 90_000 {
+		t.Fatalf("the idle holder has %d", idle.Available(clerks))
 	}
 	busy.spend(60_000, 0)
 	busy.report(l, now)
-	reclaims, _ := l.allocator.Lacking("router-1", now)
+	reclaims, _ := l.allocator.ReclaimRequests("router-1", now)
 	if d := cmp.Diff([]string{string(clerks)}, reclaims); d != "" {
 		t.Fatalf("reclaim requests (-want +got):\n%s", d)
 	}
-	if !idle.Touch([]sumachead.WorkspaceID{clerks}) {
+	if !idle.IncludeInReport([]sumachead.WorkspaceID{clerks}) {
 		t.Fatal("the idle holder has nothing to return")
 	}
 	idle.report(l, now) // learns that it should return tokens
@@ -142,7 +142,7 @@
 	busy.spend(60_000, 0)
 	busy.report(l, now)
 	if !busy.spend(60_000, 0) {
-		t.Fatalf("still refused; available %d, unallocated %d", busy.AtHand(clerks), l.state.Free(clerks))
+		t.Fatalf("still refused; available %d, unallocated %d", busy.Available(clerks), l.state.Unallocated(clerks))
 	}
 }
 
@@ -163,13 +163,13 @@
 			if h.spend(1_000, 1_000) {
 				served++
 			}
-			h.Touch([]sumachead.WorkspaceID{clerks})
+			h.IncludeInReport([]sumachead.WorkspaceID{clerks})
 			h.report(l, now)
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
 	if served != 1 {
-		t.Fatalf("%d requests served of the one that fits; available %d and %d, unallocated %d", served, a.AtHand(clerks), b.AtHand(clerks), l.state.Free(clerks))
+		t.Fatalf("%d requests served of the one that fits; available %d and %d, unallocated %d", served, a.Available(clerks), b.Available(clerks), l.state.Unallocated(clerks))
 	}
 }
 
@@ -234,14 +234,14 @@
 	old.report(l, now)
 	fresh := newHolder("router-1", "b")
 	fresh.report(l, now)
-	if free := l.state.Free(clerks); free > 40_000 {
+	if free := l.state.Unallocated(clerks); free > 40_000 {
 		t.Fatalf("unallocated %d: tokens of the previous incarnation do not count as spent", free)
 	}
 	old.spend(1, 1)
 	if !old.report(l, now) {
 		t.Fatal("the previous incarnation was not told that it is closed")
 	}
-	if old.AtHand(clerks) != 0 {
+	if old.Available(clerks) != 0 {
 		t.Fatal("a closed incarnation can still spend")
 	}
 }
@@ -257,7 +257,7 @@
 		t.Fatal(err)
 	}
 	l.state.Apply(&wire.EscrowGrant{Report: h.Report(now, true)})
-	if free := l.state.Free(clerks); free != 85_000 {
+	if free := l.state.Unallocated(clerks); free != 85_000 {
 		t.Fatalf("unallocated %d, want 85000: 10000 spent and 5000 still in flight", free)
 	}
 }
@@ -285,7 +285,7 @@
 		h.spend(10_000, 0)
 		h.report(l, now)
 	}
-	restored := NewBook()
+	restored := NewLedger()
 	restored.Restore(l.state.Snapshot())
 	if d := cmp.Diff(l.state.Snapshot(), restored.Snapshot(), cmp.Comparer(sameAccount)); d != "" {
 		t.Fatalf("(-want +got):\n%s", d)
@@ -326,7 +326,7 @@
 				if r := h.Report(now, false); r != nil {
 					l.apply(r, now)
 					l.apply(r, now)
-					h.Unsent(r)
+					h.MarkUnsent(r)
 				}
 			case 6: // crash
 				holders[i] = fresh(i)
--- a/internal/escrow/reservation.go
+++ b/internal/escrow/reservation.go
@@ -52,7 +52,7 @@
 
 // TryReserve reserves bound of a workspace's tokens if that much is available. Otherwise it
 // returns nil and records nothing.
-func (w *Wallet) Try(id sumachead.WorkspaceID, bound sumachead.Tokens) *Reservation {
+func (w *Wallet) TryReserve(id sumachead.WorkspaceID, bound sumachead.Tokens) *Reservation {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,7 +66,7 @@
 
 // RecordDemand records a request for bound of a workspace's tokens that were not available and
 // that it does not wait for, so that the ledger grants tokens for later requests.
-func (w *Wallet) Want(id sumachead.WorkspaceID, bound sumachead.Tokens) {
+func (w *Wallet) RecordDemand(id sumachead.WorkspaceID, bound sumachead.Tokens) {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,10 +82,10 @@
 	w.mu.Lock()
 	since, requestAfter := w.balance(id).shortSince, w.balance(id).requestAfter
 	w.mu.Unlock()
-	if w.Prospect == nil {
+	if w.EstimateGrant == nil {
 		return patience.ElapsedEstimate{Since: since}
 	}
-	return w.Prospect(moment.Later(requestedAt, requestAfter), since)
+	return w.EstimateGrant(moment.Later(requestedAt, requestAfter), since)
 }
 
 // admission is the outcome of one attempt to reserve from a balance.
@@ -130,7 +130,7 @@
 	p.recordAdmitted(bound)
 	if p.available() < p.lowWatermark {
 		p.lowWatermark = 0 // at most one such report until the next reply
-		w.Kick()
+		w.RequestReport()
 	}
 	return &Reservation{w, w.boot, id, bound}
 }
--- a/internal/escrow/shares_test.go
+++ b/internal/escrow/shares_test.go
@@ -89,7 +89,7 @@
 }
 
 func newDemandBased(totals map[sumachead.WorkspaceID]sumachead.Tokens) *demandBased {
-	d := &demandBased{ledger: &testLedger{NewBook(), &Sizer{}}}
+	d := &demandBased{ledger: &testLedger{NewLedger(), &Allocator{}}}
 	d.ledger.state.SetTotals(totals)
 	for w := range totals {
 		d.names = append(d.names, w)
@@ -103,7 +103,7 @@
 // open starts a new incarnation of a router.
 func (d *demandBased) open(i int) {
 	d.boots[i]++
-	d.wallets[i] = &Wallet{Node: sumachead.NodeID(fmt.Sprint("r", i)), Kick: func() { d.reportRequested[i] = true }}
+	d.wallets[i] = &Wallet{Node: sumachead.NodeID(fmt.Sprint("r", i)), RequestReport: func() { d.reportRequested[i] = true }}
 	d.wallets[i].Open(sumachead.BootID(fmt.Sprint(d.boots[i])))
 	for _, w := range d.names {
 		d.wallets[i].balance(w)
@@ -127,12 +127,12 @@
 		return
 	}
 	for i, w := range d.wallets {
-		reclaims, _ := d.ledger.allocator.Lacking(w.Node, now)
+		reclaims, _ := d.ledger.allocator.ReclaimRequests(w.Node, now)
 		var ids []sumachead.WorkspaceID
 		for _, id := range reclaims {
 			ids = append(ids, sumachead.WorkspaceID(id))
 		}
-		if w.Touch(ids) {
+		if w.IncludeInReport(ids) {
 			d.reportRequested[i] = true
 		}
 		if !d.reportRequested[i] && now.Sub(d.reportedAt[i]) < trialReportInterval {
@@ -141,7 +141,7 @@
 		d.reportRequested[i], d.reportedAt[i] = false, now
 		if r := w.Report(now, false); r != nil {
 			boot := sumachead.BootID(r.GetBoot())
-			w.Take(d.ledger.apply(r, now), boot, boot+"'", now)
+			w.ApplyReply(d.ledger.apply(r, now), boot, boot+"'", now)
 		}
 	}
 }
--- a/internal/escrow/sizer.go
+++ b/internal/escrow/sizer.go
@@ -9,7 +9,7 @@
 )
 
 // KeepAll is the value of Keep in an answer that asks for nothing back.
-const NoWish = -1
+const KeepAll = -1
 
 const (
 	// liveTimeout is how long a holder counts as live after its last report: several report
@@ -66,7 +66,7 @@
 
 // Allocator decides how much each holder should have available, by the remaining budget and by
 // demand. It is soft state of the ledger's leader, and safe for concurrent use.
-type Sizer struct {
+type Allocator struct {
 	mu      sync.Mutex // guards the fields below
 	holders map[Holder]*holderDemand
 	// totalRates are the sums of all holders' rates.
@@ -87,7 +87,7 @@
 }
 
 // RecordReport records a holder's demand.
-func (s *Sizer) Note(r *wire.EscrowReport, now time.Time) {
+func (s *Allocator) RecordReport(r *wire.EscrowReport, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.holders == nil {
@@ -116,7 +116,7 @@
 }
 
 // removeHolder subtracts a holder's demand from the sums. The caller holds mu.
-func (s *Sizer) removeHolder(h Holder) {
+func (s *Allocator) removeHolder(h Holder) {
 	for w, rate := range s.holders[h].rates {
 		s.totalRates[w] -= rate
 	}
@@ -124,11 +124,11 @@
 }
 
 // isLive reports whether a holder has reported recently. The caller holds mu.
-func (s *Sizer) isLive(h Holder) bool { return s.holders[h] != nil }
+func (s *Allocator) isLive(h Holder) bool { return s.holders[h] != nil }
 
 // Allocate returns the grant for each position of a report, and advice for the answers: how
 // much to keep, and whether the budget is exhausted.
-func (s *Sizer) Size(b *Book, r *wire.EscrowReport, now time.Time) (grants []int64, advice []*wire.EscrowAnswer) {
+func (s *Allocator) Allocate(b *Ledger, r *wire.EscrowReport, now time.Time) (grants []int64, advice []*wire.EscrowAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := holderOf(r)
@@ -141,13 +141,13 @@
 }
 
 // allocatePosition decides on one position. The caller holds mu.
-func (s *Sizer) allocatePosition(b *Book, h Holder, p *wire.EscrowPosition, now time.Time) (sumachead.Tokens, *wire.EscrowAnswer) {
+func (s *Allocator) allocatePosition(b *Ledger, h Holder, p *wire.EscrowPosition, now time.Time) (sumachead.Tokens, *wire.EscrowAnswer) {
 	w := sumachead.WorkspaceID(p.GetWorkspace())
-	a := &wire.EscrowAnswer{Workspace: p.GetWorkspace(), Keep: NoWish}
+	a := &wire.EscrowAnswer{Workspace: p.GetWorkspace(), Keep: KeepAll}
 	x := b.Holdings(w)[h].withReport(p)
 	available := x.Outstanding() - x.Spent - sumachead.Tokens(p.GetReserved())
 	target := s.targetAvailable(b, w, h)
-	unallocated := b.Free(w)
+	unallocated := b.Unallocated(w)
 	var grant sumachead.Tokens
 	if available*100 < target*refillPercent {
 		grant = min(target-available, unallocated)
@@ -168,7 +168,7 @@
 
 // recordShortfall records what a holder is short of until it can be granted. The caller holds
 // mu.
-func (s *Sizer) recordShortfall(b *Book, w sumachead.WorkspaceID, n shortfall, unallocated sumachead.Tokens) {
+func (s *Allocator) recordShortfall(b *Ledger, w sumachead.WorkspaceID, n shortfall, unallocated sumachead.Tokens) {
 	if unallocated >= n.amount {
 		delete(s.shortfalls, w)
 		return
@@ -183,7 +183,7 @@
 
 // RetryDelay returns the delay after which a short holder should ask again. It grows with the
 // number of short holders; other holders do not count.
-func (s *Sizer) Again(now time.Time) time.Duration {
+func (s *Allocator) RetryDelay(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for h, at := range s.shortHolders {
@@ -201,11 +201,11 @@
 
 // returnTarget returns how much a holder that has more than above should keep, returning the
 // rest; keep is KeepAll when it need not return anything. The caller holds mu.
-func (s *Sizer) returnTarget(b *Book, w sumachead.WorkspaceID, h Holder, target sumachead.Tokens, now time.Time) (keep, above sumachead.Tokens) {
+func (s *Allocator) returnTarget(b *Ledger, w sumachead.WorkspaceID, h Holder, target sumachead.Tokens, now time.Time) (keep, above sumachead.Tokens) {
 	n, ok := s.shortfalls[w]
 	switch {
 	case ok && n.by == h && now.Sub(n.at) <= shortfallTimeout:
-		return NoWish, 0
+		return KeepAll, 0
 	case !ok || now.Sub(n.at) > shortfallTimeout:
 		return target, target * slackPercent / 100
 	case s.remaining(b, w) < reclaimAllFactor*n.amount:
@@ -216,13 +216,13 @@
 
 // targetAvailable returns how much a holder should have available beyond what its requests in
 // flight need. The caller holds mu.
-func (s *Sizer) targetAvailable(b *Book, w sumachead.WorkspaceID, h Holder) sumachead.Tokens {
+func (s *Allocator) targetAvailable(b *Ledger, w sumachead.WorkspaceID, h Holder) sumachead.Tokens {
 	d := s.holders[h]
 	if d == nil || d.rates[w] == 0 {
 		return 0
 	}
 	rate, rates := d.rates[w], s.totalRates[w]
-	unallocated := max(b.Free(w), 0)
+	unallocated := max(b.Unallocated(w), 0)
 	byTime := rate * sumachead.Tokens(maxOutageDuration/time.Second)
 	return min(byTime, targetOutstanding(unallocated, rates)*rate/rates)
 }
@@ -239,7 +239,7 @@
 // remaining returns the most that may still become available: the total less the reported
 // spending of live holders, what closed incarnations count as spent, and all that holders that
 // are not live hold. The caller holds mu.
-func (s *Sizer) remaining(b *Book, w sumachead.WorkspaceID) sumachead.Tokens {
+func (s *Allocator) remaining(b *Ledger, w sumachead.WorkspaceID) sumachead.Tokens {
 	total, _ := b.Total(w)
 	return total - b.Spent(w, s.isLive)
 }
--- a/internal/escrow/waiting_test.go
+++ b/internal/escrow/waiting_test.go
@@ -57,7 +57,7 @@
 	const retryDelay = 160 * time.Millisecond
 	h := newHolder("router-1", "a")
 	var estimateFrom time.Time
-	h.Prospect = func(asked, _ time.Time) sumachead.Prospect {
+	h.EstimateGrant = func(asked, _ time.Time) sumachead.Prospect {
 		estimateFrom = asked
 		return patience.ReportedEstimate{}
 	}
@@ -70,8 +70,8 @@
 	}
 	ask(clerks)
 	r := h.Report(time.Now(), false)
-	a := &wire.EscrowAnswer{Workspace: string(clerks), Keep: NoWish}
-	h.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{a}, AgainMillis: retryDelay.Milliseconds()}, sumachead.BootID(r.GetBoot()), "b", time.Now())
+	a := &wire.EscrowAnswer{Workspace: string(clerks), Keep: KeepAll}
+	h.ApplyReply(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{a}, AgainMillis: retryDelay.Milliseconds()}, sumachead.BootID(r.GetBoot()), "b", time.Now())
 	if from := ask(clerks); from < retryDelay-20*time.Millisecond || from > retryDelay {
 		t.Errorf("estimate starts after %v, want %v", from, retryDelay)
 	}
@@ -95,7 +95,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, s := NewBook(), &Sizer{}
+			b, s := NewLedger(), &Allocator{}
 			b.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: 1000})
 			now := time.Now()
 			for i := range tt.holders {
@@ -103,10 +103,10 @@
 				if i < tt.short {
 					r.Positions[0].Needed = 5000
 				}
-				s.Note(r, now)
-				s.Size(b, r, now)
+				s.RecordReport(r, now)
+				s.Allocate(b, r, now)
 			}
-			if got := s.Again(now.Add(tt.shortFor)); got != tt.want {
+			if got := s.RetryDelay(now.Add(tt.shortFor)); got != tt.want {
 				t.Errorf("after %v, want %v", got, tt.want)
 			}
 		})
@@ -117,21 +117,21 @@
 // independent of the size of the fleet.
 func TestOnlyHoldersOfAWorkspaceAreAskedToGiveBack(t *testing.T) {
 	const holders, withTokens = 400, 5
-	b, s := NewBook(), &Sizer{}
+	b, s := NewLedger(), &Allocator{}
 	b.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: 1000})
 	now := time.Now()
 	node := func(i int) sumachead.NodeID { return sumachead.NodeID(fmt.Sprint("router-", i)) }
 	changes := make([]<-chan struct{}, holders)
 	for i := range holders {
 		r := &wire.EscrowReport{Node: string(node(i)), Boot: "a", Positions: []*wire.EscrowPosition{{Workspace: string(clerks)}}}
-		s.Note(r, now)
+		s.RecordReport(r, now)
 		if i < withTokens {
 			b.Apply(&wire.EscrowGrant{Report: r, Grants: []int64{200}})
 		}
-		_, changes[i] = s.Lacking(node(i), now)
+		_, changes[i] = s.ReclaimRequests(node(i), now)
 	}
 	short := &wire.EscrowReport{Node: string(node(holders - 1)), Boot: "a", Positions: []*wire.EscrowPosition{{Workspace: string(clerks), Needed: 300}}}
-	s.Size(b, short, now)
+	s.Allocate(b, short, now)
 	notified := 0
 	for i := range holders {
 		select {
@@ -139,7 +139,7 @@
 			notified++
 		default:
 		}
-		ws, _ := s.Lacking(node(i), now)
+		ws, _ := s.ReclaimRequests(node(i), now)
 		if got := len(ws) > 0; got != (i < withTokens) {
 			t.Errorf("router-%d is asked to return tokens: %v", i, got)
 		}
@@ -147,7 +147,7 @@
 	if notified != withTokens {
 		t.Errorf("%d of %d nodes were notified, %d have tokens available", notified, holders, withTokens)
 	}
-	if ws, _ := s.Lacking(node(0), now.Add(time.Minute)); ws != nil {
+	if ws, _ := s.ReclaimRequests(node(0), now.Add(time.Minute)); ws != nil {
 		t.Errorf("still asked after the timeout: %v", ws)
 	}
 }
--- a/internal/escrow/wallet.go
+++ b/internal/escrow/wallet.go
@@ -13,11 +13,11 @@
 type Wallet struct {
 	Node sumachead.NodeID
 	// RequestReport requests that a report be sent soon. It must not block.
-	Kick func()
+	RequestReport func()
 	// EstimateGrant estimates when the ledger grants tokens that a report may ask for from the
 	// time asked on, and that requests have been short of since the time since. It is nil if
 	// nothing is known of the ledger.
-	Prospect func(asked, since time.Time) sumachead.Prospect
+	EstimateGrant func(asked, since time.Time) sumachead.Prospect
 
 	mu sync.Mutex // guards the fields below, and the balances
 	// boot is the holder's incarnation; the ledger may close it.
@@ -80,7 +80,7 @@
 
 // IncludeInReport adds workspaces that have available tokens to the next report, so that they
 // can be returned. It reports whether there are any.
-func (w *Wallet) Touch(ids []sumachead.WorkspaceID) bool {
+func (w *Wallet) IncludeInReport(ids []sumachead.WorkspaceID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	found := false
@@ -94,7 +94,7 @@
 }
 
 // MarkUnsent marks a report's positions as not sent, after a call that failed.
-func (w *Wallet) Unsent(r *wire.EscrowReport) {
+func (w *Wallet) MarkUnsent(r *wire.EscrowReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range r.GetPositions() {
@@ -104,7 +104,7 @@
 
 // ApplyReply applies the ledger's reply. It reports whether the ledger has closed this
 // incarnation; the wallet is then empty and belongs to the next one.
-func (w *Wallet) Take(reply *wire.EscrowReply, boot, next sumachead.BootID, now time.Time) (closed bool) {
+func (w *Wallet) ApplyReply(reply *wire.EscrowReply, boot, next sumachead.BootID, now time.Time) (closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.boot != boot {
@@ -143,7 +143,7 @@
 	if keep := sumachead.Tokens(a.GetKeep()); keep >= 0 && p.available() > keep {
 		p.returned += p.available() - keep
 		p.dirty = true
-		w.Kick()
+		w.RequestReport()
 	}
 }
 
@@ -152,7 +152,7 @@
 func (w *Wallet) scheduleReport(p *balance, now time.Time) {
 	delay := p.requestAfter.Sub(now)
 	if delay <= 0 {
-		w.Kick()
+		w.RequestReport()
 		return
 	}
 	if p.reportScheduled {
@@ -164,13 +164,13 @@
 		defer w.mu.Unlock()
 		p.reportScheduled = false
 		if len(p.waiting) > 0 || len(p.abandoned) > 0 {
-			w.Kick()
+			w.RequestReport()
 		}
 	})
 }
 
 // Available returns what could be reserved now.
-func (w *Wallet) AtHand(id sumachead.WorkspaceID) sumachead.Tokens {
+func (w *Wallet) Available(id sumachead.WorkspaceID) sumachead.Tokens {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if p := w.balances[id]; p != nil {
@@ -180,15 +180,15 @@
 }
 
 // Totals are a wallet's tokens over all workspaces, by state.
-type Sum struct{ AtHand, Reserved, Spent, Returned sumachead.Tokens }
+type Totals struct{ Available, Reserved, Spent, Returned sumachead.Tokens }
 
 // Totals adds up the balances of all workspaces.
-func (w *Wallet) Sum() Sum {
+func (w *Wallet) Totals() Totals {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var s Sum
+	var s Totals
 	for _, p := range w.balances {
-		s.AtHand += p.available()
+		s.Available += p.available()
 		s.Reserved += p.reserved
 		s.Spent += p.spent
 		s.Returned += p.returned
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -314,7 +314,7 @@
 	if diff := cmp.Diff("3 three 600 [i-1]", got); diff != "" {
 		t.Fatalf("(-want +got):\n%s", diff)
 	}
-	if _, advice := restored.Size(&escrow.Sizer{}, &wire.EscrowReport{}, time.Now()); len(advice) != 0 {
+	if _, advice := restored.Size(&escrow.Allocator{}, &wire.EscrowReport{}, time.Now()); len(advice) != 0 {
 		t.Fatal("advice without positions")
 	}
 }
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -67,7 +67,7 @@
 	machine   *Machine
 	node      *raft.Node
 	servers   *registry.Table
-	sizer     *escrow.Sizer
+	sizer     *escrow.Allocator
 	followers *followers
 	docket    blame.Docket
 	metrics   *metrics
@@ -95,7 +95,7 @@
 		return err
 	}
 	k.servers = &registry.Table{Heartbeat: k.Heartbeat}
-	k.sizer = &escrow.Sizer{}
+	k.sizer = &escrow.Allocator{}
 	k.followers = newFollowers()
 	k.lines = &telemetry.Lines{PerSecond: k.LinesPerSecond}
 	k.alive, k.startedAt = newAliveBatch(), time.Now()
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -31,7 +31,7 @@
 	// declaration is in force, packed the same as it is stored.
 	declaration *wire.Declaration
 	packed      *wire.PackedDeclaration
-	book        *escrow.Book
+	book        *escrow.Ledger
 	// leaving are the newest lives that leave, oldest first; isLeaving holds the
 	// same.
 	leaving   []string
@@ -47,7 +47,7 @@
 // NewMachine returns the state before the first command.
 func NewMachine() *Machine {
 	return &Machine{
-		declaration: &wire.Declaration{}, packed: &wire.PackedDeclaration{}, book: escrow.NewBook(),
+		declaration: &wire.Declaration{}, packed: &wire.PackedDeclaration{}, book: escrow.NewLedger(),
 		isLeaving: make(map[string]bool), changed: make(chan struct{}), rollouts: rollout.Book{Clock: boottime.Clock{}},
 	}
 }
@@ -204,10 +204,10 @@
 }
 
 // Size asks a sizer what to grant on a report, by the book as it stands.
-func (m *Machine) Size(s *escrow.Sizer, r *wire.EscrowReport, now time.Time) ([]int64, []*wire.EscrowAnswer) {
+func (m *Machine) Size(s *escrow.Allocator, r *wire.EscrowReport, now time.Time) ([]int64, []*wire.EscrowAnswer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return s.Size(m.book, r, now)
+	return s.Allocate(m.book, r, now)
 }
 
 // Budget returns what of a workspace's budget is not granted, and its total.
@@ -215,5 +215,5 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	total, _ = m.book.Total(w)
-	return m.book.Free(w), total
+	return m.book.Unallocated(w), total
 }
--- a/internal/fleet/reports.go
+++ b/internal/fleet/reports.go
@@ -96,7 +96,7 @@
 	grants := &wire.EscrowGrants{}
 	advice := make([][]*wire.EscrowAnswer, len(batch))
 	for i, p := range batch {
-		k.sizer.Note(p.report, now)
+		k.sizer.RecordReport(p.report, now)
 		amounts, a := k.machine.Size(k.sizer, p.report, now)
 		grants.Grants = append(grants.Grants, &wire.EscrowGrant{Report: p.report, Grants: amounts})
 		advice[i] = a
@@ -120,7 +120,7 @@
 		a.Keep, a.Exhausted = advice[i].GetKeep(), advice[i].GetExhausted()
 		k.noteGrant(r.GetNode(), r.GetPositions()[i], grants[i], a)
 		if escrow.Unmet(r.GetPositions()[i], a) {
-			reply.AgainMillis = k.sizer.Again(time.Now()).Milliseconds()
+			reply.AgainMillis = k.sizer.RetryDelay(time.Now()).Milliseconds()
 		}
 	}
 	if reply.GetClosed() {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -130,7 +130,7 @@
 	// The records are shared with the table, which never changes them.
 	reply.History, reply.Version, reply.Whole, reply.Servers = answer.GetHistory(), answer.GetVersion(), answer.GetWhole(), answer.GetServers()
 	k.tellLog(r, reply)
-	reply.Lacking, _ = k.sizer.Lacking(sumachead.NodeID(r.GetNode()), time.Now())
+	reply.Lacking, _ = k.sizer.ReclaimRequests(sumachead.NodeID(r.GetNode()), time.Now())
 	return nil
 }
 
@@ -197,7 +197,7 @@
 	if behind || news.GetWhole() || len(news.GetServers()) > 0 || wait <= 0 {
 		return
 	}
-	_, lacking := k.sizer.Lacking(sumachead.NodeID(r.GetNode()), time.Now())
+	_, lacking := k.sizer.ReclaimRequests(sumachead.NodeID(r.GetNode()), time.Now())
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
--- a/internal/fleetclient/escrow.go
+++ b/internal/fleetclient/escrow.go
@@ -44,11 +44,11 @@
 func (r *Reporter) Prepare() {
 	r.boot = sumachead.BootID(uuid.NewString())
 	r.kick = make(chan struct{}, 1)
-	r.Wallet.Kick = r.Kick
+	r.Wallet.RequestReport = r.Kick
 	r.ledger.heardAt = r.Client.HeardAt
-	r.Wallet.Prospect = r.ledger.prospect
+	r.Wallet.EstimateGrant = r.ledger.prospect
 	r.Client.OnLacking = func(ids []sumachead.WorkspaceID) {
-		if r.Wallet.Touch(ids) {
+		if r.Wallet.IncludeInReport(ids) {
 			r.Kick()
 		}
 	}
@@ -87,12 +87,12 @@
 		r.Taken(time.Since(begun))
 	}
 	if err != nil {
-		r.Wallet.Unsent(report)
+		r.Wallet.MarkUnsent(report)
 		r.Log.Debug("A report of escrow was not taken.", "positions", len(report.GetPositions()), "error", err)
 		return
 	}
 	next := sumachead.BootID(uuid.NewString())
-	if r.Wallet.Take(reply, r.boot, next, time.Now()) {
+	if r.Wallet.ApplyReply(reply, r.boot, next, time.Now()) {
 		r.Log.Warn("The ledger had closed this holder; it starts anew.", "boot", r.boot, "next", next)
 		r.boot = next
 	}
--- a/internal/fleetclient/escrow_test.go
+++ b/internal/fleetclient/escrow_test.go
@@ -40,7 +40,7 @@
 func (k *fakeLedger) Report(r *wire.EscrowReport, reply *wire.EscrowReply) error {
 	k.asked.Add(1)
 	for _, p := range r.GetPositions() {
-		a := &wire.EscrowAnswer{Workspace: p.GetWorkspace(), Granted: p.GetGranted(), Keep: escrow.NoWish}
+		a := &wire.EscrowAnswer{Workspace: p.GetWorkspace(), Granted: p.GetGranted(), Keep: escrow.KeepAll}
 		if !strings.HasPrefix(p.GetWorkspace(), k.short) || time.Now().After(k.shortTo) {
 			a.Granted += p.GetNeeded()
 		} else if p.GetNeeded() > 0 {
--- a/internal/gateway/bill_test.go
+++ b/internal/gateway/bill_test.go
@@ -26,11 +26,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			a := &backend{id: "a"}
 			g := newGateway(t, wire.RouteKind_ROUTE_KIND_STREAM, false, map[string]string{"a": a.listen(t, tt.serve)})
-			g.wallet.Want("nurses", 0)
+			g.wallet.RecordDemand("nurses", 0)
 			boot := g.wallet.Report(time.Now(), false).GetBoot()
-			g.wallet.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: "nurses", Granted: 1000, Keep: escrow.NoWish}}}, sumachead.BootID(boot), "", time.Now())
+			g.wallet.ApplyReply(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: "nurses", Granted: 1000, Keep: escrow.KeepAll}}}, sumachead.BootID(boot), "", time.Now())
 			_, _, _ = sendRequest(g, "1", func(r *sumachead.CallerRequest) { r.Key, r.PromptTokens, r.AnswerTokens = "n", 100, 50 })
-			if got := 1000 - g.wallet.AtHand("nurses"); got != tt.want {
+			if got := 1000 - g.wallet.Available("nurses"); got != tt.want {
 				t.Fatalf("billed %d, want %d", got, tt.want)
 			}
 		})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -130,14 +130,14 @@
 	g.reporter.Taken = func(d time.Duration) { g.metrics.ledgerReports.Observe(d.Seconds()) }
 	g.reporter.Prepare()
 	g.lender = &lending.Lender{
-		Wallet: g.wallet, Unreached: g.reporter.Unreached,
-		Overdue: func(t sumachead.Tokens) { g.metrics.overdueLoans.Add(float64(t)) },
+		Wallet: g.wallet, LedgerUnreachable: g.reporter.Unreached,
+		OnOverdue: func(t sumachead.Tokens) { g.metrics.overdueLoans.Add(float64(t)) },
 	}
 	g.borrower = &lending.Borrower{
-		Self: g.Address, Lenders: g.client.Lenders, Wallet: g.wallet, Unreached: g.reporter.Unreached, Pool: g.Pool,
+		SelfAddress: g.Address, Lenders: g.client.Lenders, Wallet: g.wallet, LedgerUnreachable: g.reporter.Unreached, Pool: g.Pool,
 		Log: g.Log.Named("lending"),
 	}
-	g.borrower.Prepare()
+	g.borrower.Init()
 	g.backoffs = &backoff.Table{Clock: boottime.Clock{}}
 	g.upstream = &upstream.Pool{
 		Dialect: g.Dialect, OnDial: g.metrics.dials.Inc, OnNotice: g.handleNotice, BlockReason: g.withholdReason,
--- a/internal/gateway/gauges.go
+++ b/internal/gateway/gauges.go
@@ -78,7 +78,7 @@
 	g.incarnation = strconv.FormatUint(rand.Uint64(), incarnationBase)
 	g.latency = initialQueryLatency
 	g.backoffUntil = make(map[string]time.Time)
-	g.notes.Most, g.notes.Send = maxNotesPerCall, g.sendNotes
+	g.notes.MaxBatch, g.notes.Send = maxNotesPerCall, g.sendNotes
 	g.Scheduler.SendUpdate = g.notify
 }
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -151,16 +151,16 @@
 	})
 	for _, s := range []struct {
 		state string
-		of    func(escrow.Sum) sumachead.Tokens
+		of    func(escrow.Totals) sumachead.Tokens
 	}{
-		{"at_hand", func(s escrow.Sum) sumachead.Tokens { return s.AtHand }},
-		{"reserved", func(s escrow.Sum) sumachead.Tokens { return s.Reserved }},
-		{"spent", func(s escrow.Sum) sumachead.Tokens { return s.Spent }},
-		{"returned", func(s escrow.Sum) sumachead.Tokens { return s.Returned }},
+		{"at_hand", func(s escrow.Totals) sumachead.Tokens { return s.Available }},
+		{"reserved", func(s escrow.Totals) sumachead.Tokens { return s.Reserved }},
+		{"spent", func(s escrow.Totals) sumachead.Tokens { return s.Spent }},
+		{"returned", func(s escrow.Totals) sumachead.Tokens { return s.Returned }},
 	} {
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "sumachead_gateway_escrow_tokens", Help: "Escrow of all workspaces, by state.", ConstLabels: prometheus.Labels{"state": s.state},
-		}, func() float64 { return float64(s.of(g.wallet.Sum())) }))
+		}, func() float64 { return float64(s.of(g.wallet.Totals())) }))
 	}
 }
 
--- a/internal/lending/bills.go
+++ b/internal/lending/bills.go
@@ -28,7 +28,7 @@
 
 // newOutbox returns the outbox of bills, keyed by lender address.
 func (b *Borrower) newOutbox() *outbox.Outbox[string, pendingBill] {
-	return &outbox.Outbox[string, pendingBill]{Most: maxBillsPerCall, Send: b.sendBills}
+	return &outbox.Outbox[string, pendingBill]{MaxBatch: maxBillsPerCall, Send: b.sendBills}
 }
 
 // queueBill queues a bill for a lender and does not wait. The bill expires billGracePeriod
--- a/internal/lending/borrower.go
+++ b/internal/lending/borrower.go
@@ -34,14 +34,14 @@
 // first call; it is safe for concurrent use.
 type Borrower struct {
 	// SelfAddress is the address at which this router lends; it is among the lenders.
-	Self string
+	SelfAddress string
 	// Lenders returns the addresses of the data hall's lenders.
 	Lenders func() []string
 	Wallet  *escrow.Wallet
 	// LedgerUnreachable reports whether this process cannot reach the ledger.
-	Unreached func() bool
-	Pool      *rpc.Pool
-	Log       hclog.Logger
+	LedgerUnreachable func() bool
+	Pool              *rpc.Pool
+	Log               hclog.Logger
 
 	boot       sumachead.BootID
 	lastNumber atomic.Uint64
@@ -55,7 +55,7 @@
 }
 
 // Init starts an incarnation of the borrower. Call it before Reserve.
-func (b *Borrower) Prepare() {
+func (b *Borrower) Init() {
 	b.boot = sumachead.BootID(uuid.NewString())
 	b.backoffUntil = make(map[string]time.Time)
 	b.bills = b.newOutbox()
@@ -66,17 +66,17 @@
 // [*sumachead.Refusal].
 func (b *Borrower) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Deadlines, urgency uint32) (sumachead.Reservation, error) {
 	if b.demand.record(id, time.Now()) {
-		if m := b.Wallet.Try(id, bound); m != nil {
+		if m := b.Wallet.TryReserve(id, bound); m != nil {
 			return m, nil
 		}
-		b.Wallet.Want(id, bound)
+		b.Wallet.RecordDemand(id, bound)
 	}
 	for _, l := range chooseLenders(b.Lenders(), id, b.eligible) {
-		if l == b.Self {
-			if m := b.Wallet.Try(id, bound); m != nil {
+		if l == b.SelfAddress {
+			if m := b.Wallet.TryReserve(id, bound); m != nil {
 				return m, nil
 			}
-			if b.Unreached() {
+			if b.LedgerUnreachable() {
 				continue
 			}
 			break
--- a/internal/lending/demand_test.go
+++ b/internal/lending/demand_test.go
@@ -56,13 +56,13 @@
 	}
 	busy.grant(1000)
 	busy.Flush(t.Context())
-	before := rs[0].Lender.Wallet.Sum()
+	before := rs[0].Lender.Wallet.Totals()
 	m, err := busy.Borrower.Reserve(t.Context(), clerks, 100, testDeadlines(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.Settle(100)
-	if diff := cmp.Diff(before, rs[0].Lender.Wallet.Sum()); diff != "" {
+	if diff := cmp.Diff(before, rs[0].Lender.Wallet.Totals()); diff != "" {
 		t.Errorf("borrowed although it had tokens (-before +after):\n%s", diff)
 	}
 }
--- a/internal/lending/lender.go
+++ b/internal/lending/lender.go
@@ -33,9 +33,9 @@
 type Lender struct {
 	Wallet *escrow.Wallet
 	// LedgerUnreachable reports whether this process cannot reach the ledger.
-	Unreached func() bool
+	LedgerUnreachable func() bool
 	// OnOverdue is called with tokens that count as spent because no bill came.
-	Overdue func(sumachead.Tokens)
+	OnOverdue func(sumachead.Tokens)
 
 	stopping atomic.Bool
 
@@ -97,10 +97,10 @@
 // available now.
 func (l *Lender) reserveTokens(ctx context.Context, r *wire.LoanRequest, deadline, now time.Time) (*escrow.Reservation, *wire.LoanRefusal) {
 	id, bound := sumachead.WorkspaceID(r.GetWorkspace()), sumachead.Tokens(r.GetBound())
-	if m := l.Wallet.Try(id, bound); m != nil {
+	if m := l.Wallet.TryReserve(id, bound); m != nil {
 		return m, nil
 	}
-	if l.Unreached() {
+	if l.LedgerUnreachable() {
 		return nil, refuseElsewhere("the lender does not reach the ledger")
 	}
 	if !r.GetWait() {
@@ -112,7 +112,7 @@
 	}
 	m, err := l.Wallet.Reserve(ctx, id, bound, u, r.GetUrgency())
 	if err != nil {
-		return nil, refusalToWire(err, l.Unreached(), time.Now())
+		return nil, refusalToWire(err, l.LedgerUnreachable(), time.Now())
 	}
 	return m, nil
 }
@@ -189,7 +189,7 @@
 		}
 		if n.reservation != nil {
 			n.reservation.Settle(n.bound)
-			l.Overdue(n.bound)
+			l.OnOverdue(n.bound)
 		}
 		delete(l.loans, k)
 	}
@@ -200,11 +200,11 @@
 
 // Drain waits until all bills are known or ctx ends. Call it after Stop.
 func (l *Lender) Drain(ctx context.Context) {
-	loop.Until(ctx, drainPollInterval, func() bool { return l.Open() == 0 })
+	loop.Until(ctx, drainPollInterval, func() bool { return l.OpenLoans() == 0 })
 }
 
 // OpenLoans returns how many loans have no bill yet.
-func (l *Lender) Open() int {
+func (l *Lender) OpenLoans() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	open := 0
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -41,13 +41,13 @@
 	}
 	r := &router{address: lis.Addr().String()}
 	_ = lis.Close() // only its port is needed
-	w := &escrow.Wallet{Node: sumachead.NodeID(r.address), Kick: func() {}}
+	w := &escrow.Wallet{Node: sumachead.NodeID(r.address), RequestReport: func() {}}
 	w.Open("life")
-	w.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: int64(tokens), Keep: escrow.NoWish}}}, "life", "", time.Now())
+	w.ApplyReply(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: int64(tokens), Keep: escrow.KeepAll}}}, "life", "", time.Now())
 	unreached := func() bool { return r.ledgerCut }
-	r.Lender = &Lender{Wallet: w, Unreached: unreached, Overdue: func(sumachead.Tokens) {}}
-	r.Borrower = &Borrower{Self: r.address, Wallet: w, Unreached: unreached, Pool: &rpc.Pool{}, Log: hclog.NewNullLogger()}
-	r.Prepare()
+	r.Lender = &Lender{Wallet: w, LedgerUnreachable: unreached, OnOverdue: func(sumachead.Tokens) {}}
+	r.Borrower = &Borrower{SelfAddress: r.address, Wallet: w, LedgerUnreachable: unreached, Pool: &rpc.Pool{}, Log: hclog.NewNullLogger()}
+	r.Init()
 	r.server = &rpc.Server{Address: r.address}
 	if err := errors.Join(r.server.Register(Name, r.Lender), r.server.Listen()); err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 // grant grants tokens as a ledger does.
 func (r *router) grant(tokens sumachead.Tokens) {
 	w := r.Lender.Wallet
-	w.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: int64(tokens), Keep: escrow.NoWish}}}, "life", "", time.Now())
+	w.ApplyReply(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: int64(tokens), Keep: escrow.KeepAll}}}, "life", "", time.Now())
 }
 
 // testDeadlines returns the deadlines of the tests' requests.
@@ -100,14 +100,14 @@
 	m.Settle(250)
 	m.Settle(600) // a second call does nothing
 	borrower.Flush(t.Context())
-	want := escrow.Sum{AtHand: 750, Spent: 250}
-	if diff := cmp.Diff(want, lender.Lender.Wallet.Sum()); diff != "" {
+	want := escrow.Totals{Available: 750, Spent: 250}
+	if diff := cmp.Diff(want, lender.Lender.Wallet.Totals()); diff != "" {
 		t.Errorf("the lender's tokens (-want +got):\n%s", diff)
 	}
-	if n := lender.Open(); n != 0 {
+	if n := lender.OpenLoans(); n != 0 {
 		t.Errorf("%d loans are left", n)
 	}
-	if diff := cmp.Diff(escrow.Sum{}, borrower.Lender.Wallet.Sum()); diff != "" {
+	if diff := cmp.Diff(escrow.Totals{}, borrower.Lender.Wallet.Totals()); diff != "" {
 		t.Errorf("the borrower's tokens (-want +got):\n%s", diff)
 	}
 }
@@ -179,9 +179,9 @@
 		if r == nil {
 			return
 		}
-		w.Take(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: 100, Keep: escrow.NoWish, Exhausted: true}}}, "life", "", time.Now())
+		w.ApplyReply(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: string(clerks), Granted: 100, Keep: escrow.KeepAll, Exhausted: true}}}, "life", "", time.Now())
 	}
-	w.Kick = func() { go exhaust() }
+	w.RequestReport = func() { go exhaust() }
 	_, err := rs[1].Borrower.Reserve(t.Context(), clerks, 600, testDeadlines(), 0)
 	var f *sumachead.Refusal
 	if !errors.As(err, &f) {
@@ -211,18 +211,18 @@
 	tests := []struct {
 		name  string
 		steps []step
-		want  escrow.Sum
+		want  escrow.Totals
 	}{
-		{"open", []step{{ask: ask(1)}}, escrow.Sum{AtHand: 400, Reserved: 600}},
-		{"billed", []step{{ask: ask(1)}, {bill: bill(1, 50)}}, escrow.Sum{AtHand: 950, Spent: 50}},
-		{"billed twice", []step{{ask: ask(1)}, {bill: bill(1, 50)}, {bill: bill(1, 70)}}, escrow.Sum{AtHand: 950, Spent: 50}},
-		{"billed above its bound", []step{{ask: ask(1)}, {bill: bill(1, 700)}}, escrow.Sum{AtHand: 400, Spent: 600}},
-		{"ended before the request", []step{{bill: bill(1, 0)}, {ask: ask(1)}}, escrow.Sum{AtHand: 1000}},
-		{"requested twice", []step{{ask: ask(1)}, {ask: ask(1)}}, escrow.Sum{AtHand: 400, Reserved: 600}},
-		{"too few tokens available", []step{{ask: ask(1)}, {ask: ask(2)}}, escrow.Sum{AtHand: 400, Reserved: 600}},
-		{"the bill is not overdue yet", []step{{ask: ask(1)}, {after: billGracePeriod}}, escrow.Sum{AtHand: 400, Reserved: 600}},
-		{"the bill is overdue", []step{{ask: ask(1)}, {after: billGracePeriod + 2*time.Second}}, escrow.Sum{AtHand: 400, Spent: 600}},
-		{"a bill after that", []step{{ask: ask(1)}, {after: billGracePeriod + 2*time.Second}, {bill: bill(1, 5)}}, escrow.Sum{AtHand: 400, Spent: 600}},
+		{"open", []step{{ask: ask(1)}}, escrow.Totals{Available: 400, Reserved: 600}},
+		{"billed", []step{{ask: ask(1)}, {bill: bill(1, 50)}}, escrow.Totals{Available: 950, Spent: 50}},
+		{"billed twice", []step{{ask: ask(1)}, {bill: bill(1, 50)}, {bill: bill(1, 70)}}, escrow.Totals{Available: 950, Spent: 50}},
+		{"billed above its bound", []step{{ask: ask(1)}, {bill: bill(1, 700)}}, escrow.Totals{Available: 400, Spent: 600}},
+		{"ended before the request", []step{{bill: bill(1, 0)}, {ask: ask(1)}}, escrow.Totals{Available: 1000}},
+		{"requested twice", []step{{ask: ask(1)}, {ask: ask(1)}}, escrow.Totals{Available: 400, Reserved: 600}},
+		{"too few tokens available", []step{{ask: ask(1)}, {ask: ask(2)}}, escrow.Totals{Available: 400, Reserved: 600}},
+		{"the bill is not overdue yet", []step{{ask: ask(1)}, {after: billGracePeriod}}, escrow.Totals{Available: 400, Reserved: 600}},
+		{"the bill is overdue", []step{{ask: ask(1)}, {after: billGracePeriod + 2*time.Second}}, escrow.Totals{Available: 400, Spent: 600}},
+		{"a bill after that", []step{{ask: ask(1)}, {after: billGracePeriod + 2*time.Second}, {bill: bill(1, 5)}}, escrow.Totals{Available: 400, Spent: 600}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -241,7 +241,7 @@
 					t.Fatal(err)
 				}
 			}
-			if diff := cmp.Diff(tt.want, r.Lender.Wallet.Sum()); diff != "" {
+			if diff := cmp.Diff(tt.want, r.Lender.Wallet.Totals()); diff != "" {
 				t.Errorf("the lender's tokens (-want +got):\n%s", diff)
 			}
 		})
--- a/internal/lending/model_test.go
+++ b/internal/lending/model_test.go
@@ -37,8 +37,8 @@
 
 // model is a ledger with some routers and randomly drawn events.
 type model struct {
-	ledger       *escrow.Book
-	allocator    *escrow.Sizer
+	ledger       *escrow.Ledger
+	allocator    *escrow.Allocator
 	nodes        []*modelNode
 	openRequests []*openRequest
 	// handedOut is what all callers were handed, and byIncarnation the part of each lender
@@ -55,9 +55,9 @@
 func (m *model) start(n *modelNode) {
 	m.incarnations++
 	n.boot = sumachead.BootID(fmt.Sprint("life-", m.incarnations))
-	n.wallet = &escrow.Wallet{Node: n.id, Kick: func() {}}
+	n.wallet = &escrow.Wallet{Node: n.id, RequestReport: func() {}}
 	n.wallet.Open(n.boot)
-	n.lender = &Lender{Wallet: n.wallet, Unreached: func() bool { return false }, Overdue: func(sumachead.Tokens) {}}
+	n.lender = &Lender{Wallet: n.wallet, LedgerUnreachable: func() bool { return false }, OnOverdue: func(sumachead.Tokens) {}}
 }
 
 // report sends a router's report to the ledger, and the reply back unless it is lost.
@@ -66,18 +66,18 @@
 	if r == nil {
 		return
 	}
-	m.allocator.Note(r, m.now)
-	grants, advice := m.allocator.Size(m.ledger, r, m.now)
+	m.allocator.RecordReport(r, m.now)
+	grants, advice := m.allocator.Allocate(m.ledger, r, m.now)
 	reply := m.ledger.Apply(&wire.EscrowGrant{Report: r, Grants: grants})
 	for i, a := range reply.GetAnswers() {
 		a.Keep = advice[i].GetKeep()
 	}
 	if lost {
-		n.wallet.Unsent(r)
+		n.wallet.MarkUnsent(r)
 		return
 	}
 	m.incarnations++
-	n.wallet.Take(reply, n.boot, sumachead.BootID(fmt.Sprint("life-", m.incarnations)), m.now)
+	n.wallet.ApplyReply(reply, n.boot, sumachead.BootID(fmt.Sprint("life-", m.incarnations)), m.now)
 	if reply.GetClosed() {
 		n.boot = sumachead.BootID(fmt.Sprint("life-", m.incarnations))
 	}
@@ -94,7 +94,7 @@
 	if early { // given up, and the bill arrives before the request
 		m.sendBill(n, m.number, 0)
 	}
-	if n.wallet.AtHand(clerks) < bound {
+	if n.wallet.Available(clerks) < bound {
 		// A request that gave up before makes the next report ask the ledger for its tokens.
 		gone, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -146,7 +146,7 @@
 		t.Fatalf("callers were or may be handed %d of %d", handedOut, total)
 	}
 	for _, n := range m.nodes {
-		if s := n.wallet.Sum(); byIncarnation[n.boot] > s.Spent+s.Reserved {
+		if s := n.wallet.Totals(); byIncarnation[n.boot] > s.Spent+s.Reserved {
 			t.Fatalf("%s counts %v, and callers were or may be handed %d of it", n.id, s, byIncarnation[n.boot])
 		}
 	}
@@ -163,7 +163,7 @@
 	}()
 	rapid.Check(t, func(t *rapid.T) {
 		const total = 600
-		m := &model{ledger: escrow.NewBook(), allocator: &escrow.Sizer{}, now: time.Now(), byIncarnation: make(map[sumachead.BootID]sumachead.Tokens)}
+		m := &model{ledger: escrow.NewLedger(), allocator: &escrow.Allocator{}, now: time.Now(), byIncarnation: make(map[sumachead.BootID]sumachead.Tokens)}
 		m.ledger.SetTotals(map[sumachead.WorkspaceID]sumachead.Tokens{clerks: total})
 		for i := range 3 {
 			n := &modelNode{id: sumachead.NodeID(fmt.Sprint("router-", i))}
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -18,7 +18,7 @@
 // the first call; it is safe for concurrent use.
 type Outbox[K comparable, T any] struct {
 	// MaxBatch bounds the messages of one call.
-	Most int
+	MaxBatch int
 	// Send makes one call, and returns the messages to send again and the delay before the next
 	// call.
 	Send func(to K, batch []T) (retry []T, delay time.Duration)
@@ -69,7 +69,7 @@
 func (o *Outbox[K, T]) next(to K, q *queue[T]) []T {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	n := min(len(q.waiting), o.Most)
+	n := min(len(q.waiting), o.MaxBatch)
 	if n == 0 {
 		delete(o.queues, to)
 		return nil
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -51,7 +51,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := &calls{sent: make(map[string][][]int), gate: make(chan struct{}), fail: tt.fail}
-			o := &Outbox[string, int]{Most: tt.maxBatch, Send: c.send}
+			o := &Outbox[string, int]{MaxBatch: tt.maxBatch, Send: c.send}
 			o.Put("a", 1)
 			for { // until the first call is in progress
 				c.mu.Lock()
@@ -84,7 +84,7 @@
 func TestSlowKeyDoesNotDelayOthers(t *testing.T) {
 	gate := make(chan struct{})
 	done := make(chan int, 1)
-	o := &Outbox[string, int]{Most: 1, Send: func(to string, batch []int) ([]int, time.Duration) {
+	o := &Outbox[string, int]{MaxBatch: 1, Send: func(to string, batch []int) ([]int, time.Duration) {
 		if to == "slow" {
 			<-gate
 			return nil, 0
