--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,8 +1,9 @@
-// Package backoff keeps the backoff windows that backend servers have requested.
+// Package backoff tracks the backoff windows that backend servers have requested.
 //
-// A server that rejects a request may ask the process that sent it to send nothing for a time;
-// other processes are not meant. A window holds for the incarnation that requested it and never
-// shrinks. Times are by [sumachead.Clock], which goes on while the host is suspended.
+// A server that rejects a request may ask the process that sent it to send nothing for some time;
+// the request does not apply to other processes. A window belongs to the incarnation that requested
+// it and never shrinks. Times are read from [sumachead.Clock], which keeps running while the host is
+// suspended.
 package backoff
 
 import (
@@ -18,12 +19,12 @@
 	Clock sumachead.Clock
 
 	mu sync.Mutex // guards until
-	// until is when the windows end.
+	// until is when each server's window ends.
 	until map[sumachead.ServerID]sumachead.BootTime
 }
 
-// Set starts a backoff window for a server. It reports whether that ends later than the one
-// before.
+// Set starts a backoff window for a server. It reports whether the new window ends later than the
+// current one; otherwise the current one stays.
 func (t *Table) Set(id sumachead.ServerID, window time.Duration) (extended bool) {
 	if window <= 0 {
 		return false
@@ -41,13 +42,13 @@
 	return true
 }
 
-// Remaining returns how much of a server's backoff window is left; 0 for none.
+// Remaining returns how much of a server's backoff window is left, or 0 if there is none.
 func (t *Table) Remaining(id sumachead.ServerID) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	until, ok := t.until[id]
 	if !ok {
-		return 0 // without reading the clock: so it is for nearly all
+		return 0 // the common case: avoids reading the clock
 	}
 	return max(until.Sub(t.Clock.Now()), 0)
 }
@@ -65,7 +66,7 @@
 	return n
 }
 
-// Expire drops the windows that have ended.
+// Expire removes the windows that have ended.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,69 +9,69 @@
 	"sumachead"
 )
 
-// setClock is a clock that a test sets.
-type setClock struct{ now sumachead.BootTime }
+// fakeClock is a clock whose time the test sets.
+type fakeClock struct{ now sumachead.BootTime }
 
-func (c *setClock) Now() sumachead.BootTime { return c.now }
+func (c *fakeClock) Now() sumachead.BootTime { return c.now }
 
-func TestRests(t *testing.T) {
-	c := &setClock{}
+func TestBackoffWindows(t *testing.T) {
+	c := &fakeClock{}
 	table := &Table{Clock: c}
 	steps := []struct {
 		name string
-		// after is how much time passes first, and ask what the server asks for then.
-		after, ask time.Duration
-		longer     bool
-		left       time.Duration
-		count      int
+		// after is how much time passes first; window is what the server requests then.
+		after, window time.Duration
+		extended      bool
+		remaining     time.Duration
+		count         int
 	}{
-		{"nothing asked", 0, 0, false, 0, 0},
-		{"a rest", 0, 3 * time.Second, true, 3 * time.Second, 1},
-		{"a shorter one does not end it", time.Second, time.Second, false, 2 * time.Second, 1},
-		{"a longer one goes on", 0, 4 * time.Second, true, 4 * time.Second, 1},
-		{"less than none changes nothing", time.Second, -time.Second, false, 3 * time.Second, 1},
-		{"it ends, also while the host is suspended", 3 * time.Second, 0, false, 0, 0},
-		{"another one", time.Minute, time.Second, true, time.Second, 1},
+		{"nothing requested", 0, 0, false, 0, 0},
+		{"a window", 0, 3 * time.Second, true, 3 * time.Second, 1},
+		{"a shorter window does not replace it", time.Second, time.Second, false, 2 * time.Second, 1},
+		{"a longer window replaces it", 0, 4 * time.Second, true, 4 * time.Second, 1},
+		{"a negative window is ignored", time.Second, -time.Second, false, 3 * time.Second, 1},
+		{"the window ends, also while the host is suspended", 3 * time.Second, 0, false, 0, 0},
+		{"a new window after the end", time.Minute, time.Second, true, time.Second, 1},
 	}
 	for _, tt := range steps {
 		c.now = c.now.Add(tt.after)
-		if longer := table.Set("a", tt.ask); longer != tt.longer {
-			t.Errorf("%s: longer is %v", tt.name, longer)
+		if extended := table.Set("a", tt.window); extended != tt.extended {
+			t.Errorf("%s: extended is %v", tt.name, extended)
 		}
-		if left, other := table.Remaining("a"), table.Remaining("b"); left != tt.left || other != 0 {
-			t.Errorf("%s: left %v, want %v; of a server that asked nothing %v", tt.name, left, tt.left, other)
+		if remaining, other := table.Remaining("a"), table.Remaining("b"); remaining != tt.remaining || other != 0 {
+			t.Errorf("%s: %v remaining, want %v; %v for a server that requested nothing", tt.name, remaining, tt.remaining, other)
 		}
 		if n := table.Count(); n != tt.count {
-			t.Errorf("%s: %d rest, want %d", tt.name, n, tt.count)
+			t.Errorf("%s: %d servers in backoff, want %d", tt.name, n, tt.count)
 		}
 		table.Expire()
 	}
 	c.now = c.now.Add(time.Hour)
 	table.Expire()
 	if len(table.until) != 0 {
-		t.Errorf("%d are kept of which the rest is over", len(table.until))
+		t.Errorf("%d windows remain after they have ended", len(table.until))
 	}
 }
 
-// A server is let alone until the end of the longest rest that it has asked for, and no
-// longer, however its wishes come.
-func TestRestIsTheLongestAsked(t *testing.T) {
+// Overlapping requests must not shorten a window or extend it past the latest end requested,
+// in whatever order they arrive and whether or not expired windows were removed in between.
+func TestLatestWindowEndWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := &setClock{}
+		c := &fakeClock{}
 		table := &Table{Clock: c}
 		var until sumachead.BootTime
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			c.now = c.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "after")) * time.Millisecond)
-			ask := time.Duration(rapid.IntRange(-1000, 10_000).Draw(t, "ask")) * time.Millisecond
-			table.Set("a", ask)
-			if ask > 0 {
-				until = max(until, c.now.Add(ask))
+			window := time.Duration(rapid.IntRange(-1000, 10_000).Draw(t, "ask")) * time.Millisecond
+			table.Set("a", window)
+			if window > 0 {
+				until = max(until, c.now.Add(window))
 			}
 			if rapid.Bool().Draw(t, "forget") {
 				table.Expire()
 			}
 			if got, want := table.Remaining("a"), max(until.Sub(c.now), 0); got != want {
-				t.Fatalf("left %v, want %v", got, want)
+				t.Fatalf("%v remaining, want %v", got, want)
 			}
 		}
 	})
--- a/internal/backoff/parse.go
+++ b/internal/backoff/parse.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// MaxBackoff bounds a backoff window; longer requests are cut to it.
+// MaxBackoff is the longest backoff window; longer requests are truncated to it.
 const MaxBackoff = 24 * time.Hour
 
-// ErrInvalid is returned for a value that tells no time.
-var ErrInvalid = errors.New("it is neither a number of seconds nor a date")
+// ErrInvalid is returned for a value that is not a valid Retry-After.
+var ErrInvalid = errors.New("neither a number of seconds nor an HTTP date")
 
-// Parse parses the Retry-After header (RFC 9110, 10.2.3) of an answer received at now: seconds,
-// here with fractions, or a date, relative to the Date header of the answer where there is one.
-// Times in the past are 0. The error is [ErrInvalid].
+// Parse parses the Retry-After header (RFC 9110, section 10.2.3) of a response received at now:
+// a number of seconds, which may have a fraction here, or a date, taken relative to the Date header
+// of the response if there is one. Dates in the past yield 0. The error is always [ErrInvalid].
 func Parse(value, answered string, now time.Time) (time.Duration, error) {
 	value = strings.TrimSpace(value)
 	const bits = 64
