--- a/internal/blame/case.go
+++ b/internal/blame/case.go
@@ -7,75 +7,75 @@
 	"sumachead"
 )
 
-// docketCase is what is known of one request.
-type docketCase struct {
-	// ends are the newest ends under it since its last good end, oldest first.
-	ends []serverEnd
-	// trial is how it runs on trial; nil for not at all.
+// record holds what is known about one request.
+type record struct {
+	// crashes are the newest crashes of servers that ran it since its last success, oldest first.
+	crashes []crash
+	// trial is its running trial; nil for none.
 	trial *trial
-	// onTrialEnd is the end under it on trial; nil for none. It proves nothing while there are
-	// others: servers that ended about then and at which the request is not known to have been.
-	onTrialEnd *serverEnd
-	others     []string
-	// servedAt is when a good end of it was last told of; zero for never.
-	servedAt time.Time
-	// heardAt is when something was last told of it.
-	heardAt time.Time
+	// trialCrash is the crash that ended its last trial; nil for none. It proves nothing while there
+	// are otherCrashes: servers that crashed about the same time and are not known to have run it.
+	trialCrash   *crash
+	otherCrashes []string
+	// succeededAt is when a router last reported that it succeeded; zero for never.
+	succeededAt time.Time
+	// updatedAt is when a report last mentioned it.
+	updatedAt time.Time
 }
 
-// trial is the one run of a request that is suspected.
+// trial is the only attempt that a suspected request may have at a time.
 type trial struct {
-	// node is the router, and number what it has drawn for the trial.
+	// node is the router, and number the random number that it has chosen for the trial.
 	node   sumachead.NodeID
 	number uint64
 	server string
-	// until is when it is over at the latest.
+	// until is when the trial times out.
 	until time.Time
 }
 
-// serverEnd is one end of a server.
-type serverEnd struct {
+// crash is one crash of a server.
+type crash struct {
 	server string
 	at     time.Time
 }
 
-// guilty reports whether the request is proved to end servers.
-func (c *docketCase) guilty() bool { return c.onTrialEnd != nil && len(c.others) == 0 }
+// isProven reports whether the request is proven to crash servers.
+func (c *record) isProven() bool { return c.trialCrash != nil && len(c.otherCrashes) == 0 }
 
-// undecided reports whether an end on trial may still prove something: what ended about then is
-// not all known.
-func (c *docketCase) undecided(now time.Time) bool {
-	return c.onTrialEnd != nil && now.Sub(c.onTrialEnd.at) < crowd
+// isPending reports whether it is too early to draw a conclusion from the crash on trial: other
+// crashes at about the same time may not have been reported yet.
+func (c *record) isPending(now time.Time) bool {
+	return c.trialCrash != nil && now.Sub(c.trialCrash.at) < correlationWindow
 }
 
-// noteOther takes in an end of a server, which takes back what the trial has proved if it came
-// about then and the request is not known to have been there.
-func (c *docketCase) noteOther(o serverEnd) {
-	t := c.onTrialEnd
-	if o.server == t.server || o.at.Sub(t.at).Abs() >= crowd {
+// addOtherCrash records the crash of a server. It invalidates the result of the trial if it
+// happened at about the same time and the request is not known to have run at that server.
+func (c *record) addOtherCrash(o crash) {
+	t := c.trialCrash
+	if o.server == t.server || o.at.Sub(t.at).Abs() >= correlationWindow {
 		return
 	}
-	if !slices.ContainsFunc(c.ends, o.same) && !slices.Contains(c.others, o.server) {
-		c.others = append(c.others, o.server)
+	if !slices.ContainsFunc(c.crashes, o.same) && !slices.Contains(c.otherCrashes, o.server) {
+		c.otherCrashes = append(c.otherCrashes, o.server)
 	}
 }
 
-// same reports whether two ends that routers told are one.
-func (e serverEnd) same(o serverEnd) bool {
-	return o.server == e.server && o.at.Sub(e.at).Abs() < sameEnd
+// same reports whether two reported crashes are the same one.
+func (e crash) same(o crash) bool {
+	return o.server == e.server && o.at.Sub(e.at).Abs() < duplicateWindow
 }
 
-// add adds an end; it reports whether that was not known.
-func (c *docketCase) add(e serverEnd) bool {
-	if slices.ContainsFunc(c.ends, e.same) {
+// add adds a crash and reports whether it was unknown.
+func (c *record) add(e crash) bool {
+	if slices.ContainsFunc(c.crashes, e.same) {
 		return false
 	}
-	c.ends = append(c.ends, e)
-	c.ends = c.ends[max(len(c.ends)-endsKept, 0):]
+	c.crashes = append(c.crashes, e)
+	c.crashes = c.crashes[max(len(c.crashes)-maxCrashes, 0):]
 	return true
 }
 
-// onTrial reports whether a router runs the request on trial.
-func (c *docketCase) onTrial(node string, now time.Time) bool {
+// isOnTrial reports whether a router runs the request on trial.
+func (c *record) isOnTrial(node string, now time.Time) bool {
 	return c.trial != nil && string(c.trial.node) == node && now.Before(c.trial.until)
 }
--- a/internal/blame/docket_test.go
+++ b/internal/blame/docket_test.go
@@ -17,270 +17,270 @@
 	barred    = wire.Standing_STANDING_BARRED
 )
 
-// court is a docket whose changes are put in force at once, unless they are lost.
-type court struct {
-	docket Docket
-	list   List
-	now    time.Time
-	lost   bool
+// fixture is a tracker whose changes are committed at once, unless commits fail.
+type fixture struct {
+	tracker     Docket
+	list        List
+	now         time.Time
+	commitFails bool
 }
 
-func (c *court) note(r *wire.EndsReport) {
-	changes := c.docket.Note(r, c.list.Standing, c.now)
-	if !c.lost {
+func (c *fixture) handleReport(r *wire.EndsReport) {
+	changes := c.tracker.Note(r, c.list.Standing, c.now)
+	if !c.commitFails {
 		c.list.Apply(&wire.Suspects{Suspects: changes})
 	}
 }
 
-func (c *court) ended(node, server string, f sumachead.Fingerprint) {
-	c.note(&wire.EndsReport{Node: node, Ends: []*wire.ServerEnd{{Fingerprint: f[:], Server: server}}})
+func (c *fixture) crash(node, server string, f sumachead.Fingerprint) {
+	c.handleReport(&wire.EndsReport{Node: node, Ends: []*wire.ServerEnd{{Fingerprint: f[:], Server: server}}})
 }
 
-func (c *court) tryAt(node, server string, number uint64, f sumachead.Fingerprint) wire.Trial {
+func (c *fixture) requestTrialAt(node, server string, number uint64, f sumachead.Fingerprint) wire.Trial {
 	r := &wire.TrialRequest{Node: node, Fingerprint: f[:], DeadlineMillis: 6000, Number: number, Server: server}
-	return c.docket.Try(r, c.list.Standing, c.now)
+	return c.tracker.Try(r, c.list.Standing, c.now)
 }
 
-// try asks for a trial at the third server.
-func (c *court) try(node string, number uint64, f sumachead.Fingerprint) bool {
-	return c.tryAt(node, "s3", number, f) == wire.Trial_TRIAL_GRANTED
+// requestTrial requests a trial at the third server.
+func (c *fixture) requestTrial(node string, number uint64, f sumachead.Fingerprint) bool {
+	return c.requestTrialAt(node, "s3", number, f) == wire.Trial_TRIAL_GRANTED
 }
 
-func newCourt() *court { return &court{now: time.UnixMilli(1_700_000_000_000)} }
+func newFixture() *fixture { return &fixture{now: time.UnixMilli(1_700_000_000_000)} }
 
 var bad = sumachead.Fingerprint{1}
 
-// suspect makes the bad request one that is suspected.
-func (c *court) suspect() {
-	c.ended("a", "s1", bad)
-	c.ended("b", "s2", bad)
+// suspect makes the bad request suspected.
+func (c *fixture) suspect() {
+	c.crash("a", "s1", bad)
+	c.crash("b", "s2", bad)
 }
 
 func TestDocket(t *testing.T) {
 	tests := []struct {
 		name string
-		do   func(t *testing.T, c *court)
+		do   func(t *testing.T, c *fixture)
 		want wire.Standing
 	}{
-		{"one end", func(_ *testing.T, c *court) { c.ended("a", "s1", bad) }, cleared},
-		{"one end that two routers saw", func(_ *testing.T, c *court) {
-			c.ended("a", "s1", bad)
-			c.now = c.now.Add(sameEnd / 2)
-			c.ended("b", "s1", bad)
+		{"one crash", func(_ *testing.T, c *fixture) { c.crash("a", "s1", bad) }, cleared},
+		{"one crash that two routers report", func(_ *testing.T, c *fixture) {
+			c.crash("a", "s1", bad)
+			c.now = c.now.Add(duplicateWindow / 2)
+			c.crash("b", "s1", bad)
 		}, cleared},
-		{"one end that a router tells of late", func(_ *testing.T, c *court) {
-			c.ended("a", "s1", bad)
+		{"one crash that a router reports late", func(_ *testing.T, c *fixture) {
+			c.crash("a", "s1", bad)
 			c.now = c.now.Add(3 * time.Second)
-			c.note(&wire.EndsReport{Node: "b", Ends: []*wire.ServerEnd{{Fingerprint: bad[:], Server: "s1", AgeMillis: 3000}}})
+			c.handleReport(&wire.EndsReport{Node: "b", Ends: []*wire.ServerEnd{{Fingerprint: bad[:], Server: "s1", AgeMillis: 3000}}})
 		}, cleared},
-		{"two servers", func(_ *testing.T, c *court) { c.suspect() }, suspected},
-		{"one server twice, under one id", func(_ *testing.T, c *court) {
-			c.ended("a", "s1", bad)
+		{"two servers", func(_ *testing.T, c *fixture) { c.suspect() }, suspected},
+		{"one server twice, with the same ID", func(_ *testing.T, c *fixture) {
+			c.crash("a", "s1", bad)
 			c.now = c.now.Add(2 * time.Second)
-			c.ended("a", "s1", bad)
+			c.crash("a", "s1", bad)
 		}, suspected},
-		{"many servers at once bar nothing", func(_ *testing.T, c *court) {
+		{"many servers at once don't bar a request", func(_ *testing.T, c *fixture) {
 			for i := range 12 {
-				c.ended("a", fmt.Sprint("s", i), bad)
+				c.crash("a", fmt.Sprint("s", i), bad)
 			}
 		}, suspected},
-		{"an end on trial", func(t *testing.T, c *court) {
+		{"a crash on trial", func(t *testing.T, c *fixture) {
 			c.suspect()
-			if !c.try("a", 1, bad) {
-				t.Error("no trial")
+			if !c.requestTrial("a", 1, bad) {
+				t.Error("no trial was granted")
 			}
-			c.ended("a", "s3", bad)
-			if c.try("a", 2, bad) {
-				t.Error("a trial for one that is barred")
+			c.crash("a", "s3", bad)
+			if c.requestTrial("a", 2, bad) {
+				t.Error("a trial was granted for a barred request")
 			}
 		}, barred},
-		{"an end at another router than that of the trial", func(_ *testing.T, c *court) {
+		{"a crash reported by another router than that of the trial", func(_ *testing.T, c *fixture) {
 			c.suspect()
-			c.try("a", 1, bad)
-			c.ended("b", "s3", bad)
+			c.requestTrial("a", 1, bad)
+			c.crash("b", "s3", bad)
 		}, suspected},
-		{"one trial at a time, and the same one asked for again", func(t *testing.T, c *court) {
+		{"one trial at a time, which may be requested again", func(t *testing.T, c *fixture) {
 			c.suspect()
 			for _, q := range []struct {
 				node   string
 				number uint64
 				want   bool
 			}{{"a", 1, true}, {"b", 2, false}, {"a", 3, false}, {"a", 1, true}} {
-				if got := c.try(q.node, q.number, bad); got != q.want {
+				if got := c.requestTrial(q.node, q.number, bad); got != q.want {
 					t.Errorf("trial %d of %s: %t, want %t", q.number, q.node, got, q.want)
 				}
 			}
 		}, suspected},
-		{"an end at another server than that of the trial", func(_ *testing.T, c *court) {
+		{"a crash of another server than that of the trial", func(_ *testing.T, c *fixture) {
 			c.suspect()
-			c.try("a", 1, bad)
-			c.ended("a", "s4", bad)
+			c.requestTrial("a", 1, bad)
+			c.crash("a", "s4", bad)
 		}, suspected},
-		{"a trial that goes on at another server", func(t *testing.T, c *court) {
+		{"a trial that continues at another server", func(t *testing.T, c *fixture) {
 			c.suspect()
-			c.try("a", 1, bad)
-			if got := c.tryAt("a", "s4", 1, bad); got != wire.Trial_TRIAL_GRANTED {
+			c.requestTrial("a", 1, bad)
+			if got := c.requestTrialAt("a", "s4", 1, bad); got != wire.Trial_TRIAL_GRANTED {
 				t.Errorf("at the other server: %v", got)
 			}
-			c.ended("a", "s4", bad)
+			c.crash("a", "s4", bad)
 		}, barred},
-		{"two suspects are tried apart", func(t *testing.T, c *court) {
+		{"no trials of two suspects at one server", func(t *testing.T, c *fixture) {
 			c.suspect()
 			other := sumachead.Fingerprint{3}
-			c.ended("a", "s1", other)
-			c.ended("a", "s2", other)
-			c.try("b", 1, other)
+			c.crash("a", "s1", other)
+			c.crash("a", "s2", other)
+			c.requestTrial("b", 1, other)
 			for _, q := range []struct {
 				server string
 				want   wire.Trial
 			}{{"s3", wire.Trial_TRIAL_APART}, {"s4", wire.Trial_TRIAL_GRANTED}} {
-				if got := c.tryAt("a", q.server, 2, bad); got != q.want {
+				if got := c.requestTrialAt("a", q.server, 2, bad); got != q.want {
 					t.Errorf("at %s: %v, want %v", q.server, got, q.want)
 				}
 			}
-			c.note(&wire.EndsReport{Node: "b", Untried: [][]byte{other[:]}})
-			if got := c.tryAt("a", "s3", 2, bad); got != wire.Trial_TRIAL_GRANTED {
-				t.Errorf("once the other one's trial is over: %v", got)
+			c.handleReport(&wire.EndsReport{Node: "b", Untried: [][]byte{other[:]}})
+			if got := c.requestTrialAt("a", "s3", 2, bad); got != wire.Trial_TRIAL_GRANTED {
+				t.Errorf("after the other trial has ended: %v", got)
 			}
 		}, suspected},
-		{"a good end between two ends", func(_ *testing.T, c *court) {
-			c.ended("a", "s1", bad)
-			c.note(&wire.EndsReport{Node: "a", Survived: [][]byte{bad[:]}})
-			c.ended("a", "s2", bad)
+		{"a success between two crashes", func(_ *testing.T, c *fixture) {
+			c.crash("a", "s1", bad)
+			c.handleReport(&wire.EndsReport{Node: "a", Survived: [][]byte{bad[:]}})
+			c.crash("a", "s2", bad)
 		}, cleared},
-		{"a trial that showed nothing", func(t *testing.T, c *court) {
+		{"a trial without a result", func(t *testing.T, c *fixture) {
 			c.suspect()
-			c.try("a", 1, bad)
-			c.note(&wire.EndsReport{Node: "a", Untried: [][]byte{bad[:]}})
-			if !c.try("b", 2, bad) {
-				t.Error("no trial")
+			c.requestTrial("a", 1, bad)
+			c.handleReport(&wire.EndsReport{Node: "a", Untried: [][]byte{bad[:]}})
+			if !c.requestTrial("b", 2, bad) {
+				t.Error("no trial was granted")
 			}
 		}, suspected},
-		{"a trial whose router is silent", func(t *testing.T, c *court) {
+		{"a trial whose router reports nothing", func(t *testing.T, c *fixture) {
 			c.suspect()
-			c.try("a", 1, bad)
-			c.now = c.now.Add(trialMost)
-			if !c.try("b", 2, bad) {
-				t.Error("no trial")
+			c.requestTrial("a", 1, bad)
+			c.now = c.now.Add(maxTrialTime)
+			if !c.requestTrial("b", 2, bad) {
+				t.Error("no trial was granted")
 			}
 		}, suspected},
-		{"a good end", func(_ *testing.T, c *court) {
+		{"a success", func(_ *testing.T, c *fixture) {
 			c.suspect()
-			c.try("a", 1, bad)
-			c.note(&wire.EndsReport{Node: "a", Survived: [][]byte{bad[:]}})
-			c.ended("a", "s3", bad)
+			c.requestTrial("a", 1, bad)
+			c.handleReport(&wire.EndsReport{Node: "a", Survived: [][]byte{bad[:]}})
+			c.crash("a", "s3", bad)
 		}, cleared},
-		{"a change that was not committed is told again", func(_ *testing.T, c *court) {
-			c.lost = true
+		{"a change that was not committed is returned again", func(_ *testing.T, c *fixture) {
+			c.commitFails = true
 			c.suspect()
-			c.lost = false
-			c.ended("b", "s2", bad)
+			c.commitFails = false
+			c.crash("b", "s2", bad)
 		}, suspected},
-		{"an end on trial that was not committed is told again", func(_ *testing.T, c *court) {
+		{"a crash on trial that was not committed is returned again", func(_ *testing.T, c *fixture) {
 			c.suspect()
-			c.try("a", 1, bad)
-			c.lost = true
-			c.ended("a", "s3", bad)
-			c.lost = false
-			c.ended("a", "s3", bad)
+			c.requestTrial("a", 1, bad)
+			c.commitFails = true
+			c.crash("a", "s3", bad)
+			c.commitFails = false
+			c.crash("a", "s3", bad)
 		}, barred},
-		{"a new leader goes on from the log", func(t *testing.T, c *court) {
+		{"a new leader continues from the log", func(t *testing.T, c *fixture) {
 			c.suspect()
-			c.docket = Docket{}
-			if !c.try("a", 1, bad) {
-				t.Error("no trial")
+			c.tracker = Docket{}
+			if !c.requestTrial("a", 1, bad) {
+				t.Error("no trial was granted")
 			}
-			c.ended("a", "s3", bad)
+			c.crash("a", "s3", bad)
 		}, barred},
-		{"bytes that are no fingerprint", func(_ *testing.T, c *court) {
+		{"invalid fingerprints", func(_ *testing.T, c *fixture) {
 			c.suspect()
 			short := bad[:3]
-			c.note(&wire.EndsReport{Node: "a", Ends: []*wire.ServerEnd{{Fingerprint: short}}, Survived: [][]byte{short}, Untried: [][]byte{nil}})
-			c.docket.Try(&wire.TrialRequest{Fingerprint: short}, c.list.Standing, c.now)
+			c.handleReport(&wire.EndsReport{Node: "a", Ends: []*wire.ServerEnd{{Fingerprint: short}}, Survived: [][]byte{short}, Untried: [][]byte{nil}})
+			c.tracker.Try(&wire.TrialRequest{Fingerprint: short}, c.list.Standing, c.now)
 		}, suspected},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := newCourt()
+			c := newFixture()
 			tt.do(t, c)
 			if got := c.list.Standing(bad); got != tt.want {
-				t.Errorf("stands %v, want %v", got, tt.want)
+				t.Errorf("standing %v, want %v", got, tt.want)
 			}
 			if got := c.list.Standing(sumachead.Fingerprint{2}); got != cleared {
-				t.Errorf("another request stands %v", got)
+				t.Errorf("standing of another request: %v", got)
 			}
 		})
 	}
 }
 
-// A request that has come to a good end lately is barred for a short time only: it may have
-// been beside a guilty one on trial.
+// A request that has succeeded recently is barred for a short time only: the actual cause of the
+// crash may have run beside its trial.
 func TestServedRequestIsTriedAgainSoon(t *testing.T) {
-	c := newCourt()
+	c := newFixture()
 	c.suspect()
-	c.try("a", 1, bad)
-	c.note(&wire.EndsReport{Node: "a", Ends: []*wire.ServerEnd{{Fingerprint: bad[:], Server: "s3", Served: true}}})
+	c.requestTrial("a", 1, bad)
+	c.handleReport(&wire.EndsReport{Node: "a", Ends: []*wire.ServerEnd{{Fingerprint: bad[:], Server: "s3", Served: true}}})
 	if got := c.list.Standing(bad); got != barred {
-		t.Fatalf("stands %v", got)
+		t.Fatalf("standing %v", got)
 	}
-	c.now = c.now.Add(reviewAfter + time.Second)
-	c.list.Apply(&wire.Suspects{Suspects: c.docket.Expire(c.list.Since(0).GetSuspects(), c.now)})
+	c.now = c.now.Add(retrialDelay + time.Second)
+	c.list.Apply(&wire.Suspects{Suspects: c.tracker.Expire(c.list.Since(0).GetSuspects(), c.now)})
 	if got := c.list.Standing(bad); got != suspected {
-		t.Errorf("stands %v after %v, want %v", got, reviewAfter, suspected)
+		t.Errorf("standing %v after %v, want %v", got, retrialDelay, suspected)
 	}
-	if !c.try("b", 2, bad) {
-		t.Error("no trial")
+	if !c.requestTrial("b", 2, bad) {
+		t.Error("no trial was granted")
 	}
 }
 
-func TestWhatIsHeldPasses(t *testing.T) {
-	c := newCourt()
+func TestStandingsExpire(t *testing.T) {
+	c := newFixture()
 	c.suspect()
-	c.try("a", 1, bad)
-	c.ended("a", "s3", bad)
+	c.requestTrial("a", 1, bad)
+	c.crash("a", "s3", bad)
 	for _, want := range []wire.Standing{barred, suspected, cleared} {
 		if got := c.list.Standing(bad); got != want {
-			t.Fatalf("stands %v, want %v", got, want)
+			t.Fatalf("standing %v, want %v", got, want)
 		}
-		c.now = c.now.Add(heldFor + time.Second)
-		c.list.Apply(&wire.Suspects{Suspects: c.docket.Expire(c.list.Since(0).GetSuspects(), c.now)})
+		c.now = c.now.Add(standingTTL + time.Second)
+		c.list.Apply(&wire.Suspects{Suspects: c.tracker.Expire(c.list.Since(0).GetSuspects(), c.now)})
 	}
-	if len(c.docket.cases) > 0 {
-		t.Errorf("%d requests are remembered", len(c.docket.cases))
+	if len(c.tracker.records) > 0 {
+		t.Errorf("%d requests are on record", len(c.tracker.records))
 	}
-	// Between, it runs on trial, and the first end bars it again.
-	c = newCourt()
+	// After the bar has expired the request runs on trial, and the first crash bars it again.
+	c = newFixture()
 	c.suspect()
-	c.try("a", 1, bad)
-	c.ended("a", "s3", bad)
-	c.now = c.now.Add(heldFor + time.Second)
-	c.list.Apply(&wire.Suspects{Suspects: c.docket.Expire(c.list.Since(0).GetSuspects(), c.now)})
-	if !c.try("b", 2, bad) {
-		t.Fatal("no trial for one that was barred long ago")
+	c.requestTrial("a", 1, bad)
+	c.crash("a", "s3", bad)
+	c.now = c.now.Add(standingTTL + time.Second)
+	c.list.Apply(&wire.Suspects{Suspects: c.tracker.Expire(c.list.Since(0).GetSuspects(), c.now)})
+	if !c.requestTrial("b", 2, bad) {
+		t.Fatal("no trial was granted after the bar expired")
 	}
-	c.ended("b", "s3", bad)
+	c.crash("b", "s3", bad)
 	if got := c.list.Standing(bad); got != barred {
-		t.Errorf("stands %v, want %v", got, barred)
+		t.Errorf("standing %v, want %v", got, barred)
 	}
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	c := newCourt()
-	for i := range mostCases + 100 {
+	c := newFixture()
+	for i := range maxRecords + 100 {
 		f := sumachead.Fingerprint{byte(i), byte(i >> 8), byte(i >> 16)}
-		c.ended("a", "s1", f)
-		c.ended("a", "s2", f)
+		c.crash("a", "s1", f)
+		c.crash("a", "s2", f)
 	}
-	if n := len(c.docket.cases); n > mostCases {
-		t.Errorf("%d cases", n)
+	if n := len(c.tracker.records); n > maxRecords {
+		t.Errorf("%d records", n)
 	}
-	if n := len(c.list.Since(0).GetSuspects()); n > mostListed {
-		t.Errorf("%d are listed", n)
+	if n := len(c.list.Since(0).GetSuspects()); n > maxSuspects {
+		t.Errorf("%d suspects are listed", n)
 	}
 	table := Table{}
 	table.Take(c.list.Since(0))
-	if table.Held() != mostListed || len(table.suspects) != mostListed {
-		t.Errorf("%d held, %d known", table.Held(), len(table.suspects))
+	if table.Held() != maxSuspects || len(table.suspects) != maxSuspects {
+		t.Errorf("%d active, %d known", table.Held(), len(table.suspects))
 	}
 }
 
@@ -291,14 +291,14 @@
 		l.Apply(&wire.Suspects{Suspects: []*wire.Suspect{{Fingerprint: bad[:], Standing: s}}})
 	}
 	tests := []struct {
-		name string
-		take func() *wire.Suspects
-		want wire.Standing
-		held int
+		name   string
+		take   func() *wire.Suspects
+		want   wire.Standing
+		active int
 	}{
 		{"suspected", func() *wire.Suspects { set(suspected); return l.Since(table.Revision()) }, suspected, 1},
 		{"an answer to a report", func() *wire.Suspects { set(barred); return l.Some(&wire.EndsReport{Survived: [][]byte{bad[:]}}) }, barred, 1},
-		{"the same by a question", func() *wire.Suspects { return l.Since(table.Revision()) }, barred, 1},
+		{"the same from a poll", func() *wire.Suspects { return l.Since(table.Revision()) }, barred, 1},
 		{"an older answer", func() *wire.Suspects {
 			return &wire.Suspects{Suspects: []*wire.Suspect{{Fingerprint: bad[:], Standing: suspected, Revision: 1}}}
 		}, barred, 1},
@@ -309,11 +309,11 @@
 	}
 	for _, tt := range tests {
 		table.Take(tt.take())
-		if got, _ := table.Known(bad); got != tt.want || table.Held() != tt.held {
-			t.Errorf("%s: %v, %d held; want %v, %d", tt.name, got, table.Held(), tt.want, tt.held)
+		if got, _ := table.Known(bad); got != tt.want || table.Held() != tt.active {
+			t.Errorf("%s: %v, %d active; want %v, %d", tt.name, got, table.Held(), tt.want, tt.active)
 		}
 	}
-	// A snapshot holds the same, and numbers on from there.
+	// A restored list holds the same state and continues its revisions.
 	var restored List
 	restored.Restore(l.Since(0))
 	set(barred)
--- a/internal/blame/fingerprint_test.go
+++ b/internal/blame/fingerprint_test.go
@@ -20,17 +20,17 @@
 		change func(*sumachead.CallerRequest)
 		same   bool
 	}{
-		{"another try", func(r *sumachead.CallerRequest) { r.ID = "2" }, true},
-		{"a stream that goes on", func(r *sumachead.CallerRequest) { r.LastEvent = "7" }, true},
-		{"another key of the caller", func(r *sumachead.CallerRequest) { r.Key = "other" }, true},
+		{"a retry", func(r *sumachead.CallerRequest) { r.ID = "2" }, true},
+		{"a resumed stream", func(r *sumachead.CallerRequest) { r.LastEvent = "7" }, true},
+		{"another idempotency key", func(r *sumachead.CallerRequest) { r.Key = "other" }, true},
 		{"another body", func(r *sumachead.CallerRequest) { r.Body = []byte("bodY") }, false},
 		{"another path", func(r *sumachead.CallerRequest) { r.Path = "/r/y" }, false},
 		{"another method", func(r *sumachead.CallerRequest) { r.Method = http.MethodPut }, false},
-		{"bytes that move from one part to the next", func(r *sumachead.CallerRequest) { r.Path, r.Query = "/r/xa", "=b" }, false},
+		{"bytes moved from one part to the next", func(r *sumachead.CallerRequest) { r.Path, r.Query = "/r/xa", "=b" }, false},
 	}
 	for _, tt := range tests {
 		if got := of(tt.change) == first; got != tt.same {
-			t.Errorf("%s: the same fingerprint %t, want %t", tt.name, got, tt.same)
+			t.Errorf("%s: same fingerprint: %t, want %t", tt.name, got, tt.same)
 		}
 	}
 	r := &sumachead.CallerRequest{}
--- a/internal/blame/list.go
+++ b/internal/blame/list.go
@@ -11,29 +11,29 @@
 	"sumachead/api/wire"
 )
 
-// mostListed bounds the suspects that a fleet holds; beyond it the ones that changed first
-// are forgotten. A fleet has as many of them only where servers end by the dozen.
-const mostListed = 1024
+// maxSuspects bounds the suspects that a fleet keeps; beyond it, those with the oldest change are
+// removed. A fleet has that many only if servers crash by the dozen.
+const maxSuspects = 1024
 
-// shelf holds suspects by fingerprint, those that are cleared included; the messages are
-// replaced, never changed. It forgets the one that changed first where there are too many.
-type shelf map[sumachead.Fingerprint]*wire.Suspect
+// suspectMap holds suspects by fingerprint, including cleared ones; the messages are replaced, never
+// modified. It evicts the one with the oldest change if there are too many.
+type suspectMap map[sumachead.Fingerprint]*wire.Suspect
 
-// put puts a suspect in, and returns the one that is forgotten for it; nil for none.
-func (s shelf) put(f sumachead.Fingerprint, x *wire.Suspect) (forgotten *wire.Suspect) {
+// put sets a suspect and returns the one that is evicted for it; nil for none.
+func (s suspectMap) put(f sumachead.Fingerprint, x *wire.Suspect) (evicted *wire.Suspect) {
 	s[f] = x
-	if len(s) <= mostListed {
+	if len(s) <= maxSuspects {
 		return nil
 	}
-	forgotten = slices.MinFunc(slices.Collect(maps.Values(s)), byRevision)
-	delete(s, sumachead.Fingerprint(forgotten.GetFingerprint()))
-	return forgotten
+	evicted = slices.MinFunc(slices.Collect(maps.Values(s)), byRevision)
+	delete(s, sumachead.Fingerprint(evicted.GetFingerprint()))
+	return evicted
 }
 
-// byRevision orders suspects by their changes.
+// byRevision compares suspects by the revisions of their last changes.
 func byRevision(a, b *wire.Suspect) int { return cmp.Compare(a.GetRevision(), b.GetRevision()) }
 
-// parse reads a fingerprint; ok is false for bytes that are none.
+// parse parses a fingerprint; ok is false if the length is wrong.
 func parse(b []byte) (f sumachead.Fingerprint, ok bool) {
 	if len(b) != len(f) {
 		return f, false
@@ -41,14 +41,14 @@
 	return sumachead.Fingerprint(b), true
 }
 
-// List is how suspects stand, as the fleet's log has it. It reads no clock. It is not safe
-// for concurrent use; the zero value is ready.
+// List is the replicated state of the standings of suspects, to which the fleet's log is applied.
+// It reads no clock. It is not safe for concurrent use; the zero value is ready to use.
 type List struct {
 	revision uint64
-	suspects shelf
+	suspects suspectMap
 }
 
-// Apply sets how some suspects stand.
+// Apply sets the standings of some suspects.
 func (l *List) Apply(s *wire.Suspects) {
 	for _, x := range s.GetSuspects() {
 		f, ok := parse(x.GetFingerprint())
@@ -62,18 +62,19 @@
 	}
 }
 
-// put puts a suspect in.
+// put sets a suspect.
 func (l *List) put(f sumachead.Fingerprint, s *wire.Suspect) {
 	if l.suspects == nil {
-		l.suspects = make(shelf)
+		l.suspects = make(suspectMap)
 	}
 	l.suspects.put(f, s)
 }
 
-// Standing returns how a request stands.
+// Standing returns the standing of a request.
 func (l *List) Standing(f sumachead.Fingerprint) wire.Standing { return l.suspects[f].GetStanding() }
 
-// Some returns the requests of a report that are listed, with no revision of the whole.
+// ForReport returns the suspects that a report mentions. The result has no revision, since it is
+// only a part of the list.
 func (l *List) Some(r *wire.EndsReport) *wire.Suspects {
 	out := &wire.Suspects{}
 	add := func(fingerprint []byte) {
@@ -90,7 +91,7 @@
 	return out
 }
 
-// Count returns how many suspects stand in a way.
+// Count returns the number of suspects with a standing.
 func (l *List) Count(s wire.Standing) int {
 	n := 0
 	for _, x := range l.suspects {
@@ -101,11 +102,11 @@
 	return n
 }
 
-// Revision returns that of the newest change.
+// Revision returns the revision of the newest change.
 func (l *List) Revision() uint64 { return l.revision }
 
 // Since returns the suspects that changed after a revision, oldest change first. The
-// messages must not be changed.
+// messages must not be modified.
 func (l *List) Since(revision uint64) *wire.Suspects {
 	out := &wire.Suspects{Revision: l.revision}
 	for _, s := range l.suspects {
@@ -117,7 +118,7 @@
 	return out
 }
 
-// Restore replaces everything by what [List.Since] of revision 0 has returned.
+// Restore replaces the state with what [List.Since] has returned for revision 0.
 func (l *List) Restore(s *wire.Suspects) {
 	*l = List{revision: s.GetRevision()}
 	for _, x := range s.GetSuspects() {
--- a/internal/blame/model_test.go
+++ b/internal/blame/model_test.go
@@ -12,56 +12,56 @@
 	"sumachead/api/wire"
 )
 
-// A model of a fleet without a network: engines that run requests, routers that send them and
-// see them break, one leading keeper. Reports and news take their time on the way.
+// A simulation of a fleet without a network: engines that run requests, routers that send them and
+// see them fail, and one leading keeper. Reports and updates are delayed.
 
 const (
-	// perEngine is how many requests run at an engine on average.
-	perEngine = 10
-	// modelLasts is for how long callers insist, and engineDown how long an engine takes to
-	// start again.
-	modelLasts = 12 * time.Second
-	engineDown = 3 * time.Second
-	// endsIn is how long a bad request runs before its engine ends.
-	endsIn = 40 * time.Millisecond
+	// requestsPerEngine is how many callers there are for each engine.
+	requestsPerEngine = 10
+	// simulatedTime is how long callers send requests, and engineRestartTime how long an engine
+	// takes to restart.
+	simulatedTime     = 12 * time.Second
+	engineRestartTime = 3 * time.Second
+	// crashDelay is how long a bad request runs before its engine crashes.
+	crashDelay = 40 * time.Millisecond
 )
 
-// modelEvent is something that happens at a time.
-type modelEvent struct {
+// event is a function that is called at a simulated time.
+type event struct {
 	at time.Duration
 	do func()
 }
 
-type modelEvents []modelEvent
+type eventQueue []event
 
-func (e modelEvents) Len() int           { return len(e) }
-func (e modelEvents) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e modelEvents) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *modelEvents) Push(x any)        { *e = append(*e, x.(modelEvent)) }
-func (e *modelEvents) Pop() any {
+func (e eventQueue) Len() int           { return len(e) }
+func (e eventQueue) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e eventQueue) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)        { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	*e = (*e)[:last]
 	return x
 }
 
-// modelRun is one attempt of a request at an engine.
-type modelRun struct {
-	f      sumachead.Fingerprint
-	router int
-	trial  uint64
-	broke  func()
+// attempt is one attempt of a request at an engine.
+type attempt struct {
+	f       sumachead.Fingerprint
+	router  int
+	trial   uint64
+	onCrash func()
 }
 
-type modelEngine struct {
-	lives int
-	up    bool
-	// runs are in the order in which they began, so that a seed plays the same each time.
-	runs []*modelRun
+type engine struct {
+	incarnation int
+	up          bool
+	// runs are in the order of their starts, so that a seed always gives the same simulation.
+	runs []*attempt
 }
 
-// stop takes a run off; it reports whether it was there.
-func (e *modelEngine) stop(run *modelRun) bool {
+// stop removes a run and reports whether it was there.
+func (e *engine) stop(run *attempt) bool {
 	i := slices.Index(e.runs, run)
 	if i >= 0 {
 		e.runs = slices.Delete(e.runs, i, i+1)
@@ -69,41 +69,42 @@
 	return i >= 0
 }
 
-// servedAt is a good end of a request at a router.
-type servedAt struct {
+// successKey identifies a request and the router at which it succeeded.
+type successKey struct {
 	router int
 	f      sumachead.Fingerprint
 }
 
-// model is the state of a played fleet.
-type model struct {
-	rand    *rand.Rand
-	now     time.Duration
-	events  modelEvents
-	engines []*modelEngine
-	tables  []Table
-	docket  Docket
-	list    List
-	bad     sumachead.Fingerprint
-	ends    int
-	served  map[servedAt]time.Duration
-	// barred and waits are refusals of requests that end nothing: barred, and told to come back.
-	barred, waits int
+// simulation is the state of a simulated fleet.
+type simulation struct {
+	rand      *rand.Rand
+	now       time.Duration
+	events    eventQueue
+	engines   []*engine
+	tables    []Table
+	tracker   Docket
+	list      List
+	bad       sumachead.Fingerprint
+	crashes   int
+	succeeded map[successKey]time.Duration
+	// falselyBarred and trialRefusals count refusals of harmless requests: as barred, and because no
+	// trial was granted.
+	falselyBarred, trialRefusals int
 }
 
-func (m *model) after(d time.Duration, do func()) {
-	heap.Push(&m.events, modelEvent{m.now + d, do})
+func (m *simulation) after(d time.Duration, do func()) {
+	heap.Push(&m.events, event{m.now + d, do})
 }
 
-// between draws a time.
-func (m *model) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(m.rand.Int64N(int64(most-least)))
+// randDelay returns a random delay in [minimum, maximum).
+func (m *simulation) randDelay(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(m.rand.Int64N(int64(maximum-minimum)))
 }
 
-func (m *model) moment() time.Time { return time.UnixMilli(1_700_000_000_000).Add(m.now) }
+func (m *simulation) wallTime() time.Time { return time.UnixMilli(1_700_000_000_000).Add(m.now) }
 
-// pick draws an engine that is up; nil where none is.
-func (m *model) pick() (int, *modelEngine) {
+// pick returns a random engine that is up, or nil if it finds none.
+func (m *simulation) pick() (int, *engine) {
 	for range 50 {
 		if i := m.rand.IntN(len(m.engines)); m.engines[i].up {
 			return i, m.engines[i]
@@ -112,47 +113,47 @@
 	return 0, nil
 }
 
-// report brings a report to the leader, and its answer back.
-func (m *model) report(router int, r *wire.EndsReport, then func()) {
+// report delivers a report to the leader and its reply to the router.
+func (m *simulation) report(router int, r *wire.EndsReport, then func()) {
 	r.Node = fmt.Sprint(router)
-	m.after(m.between(2*time.Millisecond, 20*time.Millisecond), func() {
-		m.put(m.docket.Note(r, m.list.Standing, m.moment()))
+	m.after(m.randDelay(2*time.Millisecond, 20*time.Millisecond), func() {
+		m.publish(m.tracker.Note(r, m.list.Standing, m.wallTime()))
 		answer := m.list.Some(r)
-		m.after(m.between(2*time.Millisecond, 20*time.Millisecond), func() { m.tables[router].Take(answer); then() })
+		m.after(m.randDelay(2*time.Millisecond, 20*time.Millisecond), func() { m.tables[router].Take(answer); then() })
 	})
 }
 
-// end ends an engine with all that runs there.
-func (m *model) end(i int) {
+// crash crashes an engine with all requests that run there.
+func (m *simulation) crash(i int) {
 	e := m.engines[i]
 	if !e.up {
 		return
 	}
-	life := fmt.Sprint("e", i, "-", e.lives)
+	life := fmt.Sprint("e", i, "-", e.incarnation)
 	e.up = false
-	e.lives++
-	m.after(engineDown, func() { e.up = true })
+	e.incarnation++
+	m.after(engineRestartTime, func() { e.up = true })
 	runs := e.runs
 	e.runs = nil
 	for _, run := range runs {
 		f := run.f
-		served := m.served[servedAt{run.router, f}] > 0
-		m.report(run.router, &wire.EndsReport{Ends: []*wire.ServerEnd{{Fingerprint: f[:], Server: life, Served: served}}}, run.broke)
+		served := m.succeeded[successKey{run.router, f}] > 0
+		m.report(run.router, &wire.EndsReport{Ends: []*wire.ServerEnd{{Fingerprint: f[:], Server: life, Served: served}}}, run.onCrash)
 	}
 }
 
-// send makes an attempt of a request at a router; done is told whether it was served.
-func (m *model) send(f sumachead.Fingerprint, router, attempts int, done func(served bool)) {
+// send sends a request from a router, with retries; done is called with whether it succeeded.
+func (m *simulation) send(f sumachead.Fingerprint, router, attempts int, done func(succeeded bool)) {
 	standing, _ := m.tables[router].Known(f)
 	i, e := m.pick()
 	if e == nil || standing == wire.Standing_STANDING_BARRED {
 		if e != nil && f != m.bad {
-			m.barred++
+			m.falselyBarred++
 		}
 		done(false)
 		return
 	}
-	run := &modelRun{f: f, router: router, broke: func() {
+	run := &attempt{f: f, router: router, onCrash: func() {
 		if attempts > 1 {
 			m.send(f, router, attempts-1, done)
 			return
@@ -161,10 +162,10 @@
 	}}
 	if standing == wire.Standing_STANDING_SUSPECTED {
 		run.trial = m.rand.Uint64()
-		r := &wire.TrialRequest{Node: fmt.Sprint(router), Fingerprint: f[:], Server: fmt.Sprint("e", i, "-", e.lives), Number: run.trial, DeadlineMillis: 6000}
-		if m.docket.Try(r, m.list.Standing, m.moment()) != wire.Trial_TRIAL_GRANTED {
+		r := &wire.TrialRequest{Node: fmt.Sprint(router), Fingerprint: f[:], Server: fmt.Sprint("e", i, "-", e.incarnation), Number: run.trial, DeadlineMillis: 6000}
+		if m.tracker.Try(r, m.list.Standing, m.wallTime()) != wire.Trial_TRIAL_GRANTED {
 			if f != m.bad {
-				m.waits++
+				m.trialRefusals++
 			}
 			done(false)
 			return
@@ -172,29 +173,29 @@
 	}
 	e.runs = append(e.runs, run)
 	if f == m.bad {
-		m.after(endsIn, func() {
+		m.after(crashDelay, func() {
 			if slices.Contains(e.runs, run) {
-				m.ends++
-				m.end(i)
+				m.crashes++
+				m.crash(i)
 			}
 		})
 		return
 	}
-	m.after(m.between(200*time.Millisecond, 2*time.Second), func() {
+	m.after(m.randDelay(200*time.Millisecond, 2*time.Second), func() {
 		if !e.stop(run) {
 			return
 		}
-		m.served[servedAt{router, f}] = m.now
-		if m.docket.Accused(f) { // as its router knows, which has told of the end
+		m.succeeded[successKey{router, f}] = m.now
+		if m.tracker.Accused(f) { // the router knows this, since it has reported the crash
 			m.report(router, &wire.EndsReport{Survived: [][]byte{f[:]}}, func() {})
 		}
 		done(true)
 	})
 }
 
-// caller sends requests that end nothing, one after the other. Some are one and the same.
-func (m *model) caller(number int) {
-	if m.now > modelLasts {
+// call sends harmless requests one after the other. Some of them are identical.
+func (m *simulation) call(number int) {
+	if m.now > simulatedTime {
 		return
 	}
 	var f sumachead.Fingerprint
@@ -203,27 +204,27 @@
 		f = sumachead.Fingerprint{3, byte(number), byte(number >> 8), byte(number >> 16), byte(m.now >> 20), byte(m.now >> 28), byte(m.rand.Uint32())}
 	}
 	router := m.rand.IntN(len(m.tables))
-	m.send(f, router, 2, func(served bool) {
-		if served {
-			m.caller(number)
+	m.send(f, router, 2, func(succeeded bool) {
+		if succeeded {
+			m.call(number)
 			return
 		}
-		m.after(m.between(100*time.Millisecond, 300*time.Millisecond), func() {
-			m.send(f, m.rand.IntN(len(m.tables)), 2, func(bool) { m.after(m.between(time.Millisecond, 200*time.Millisecond), func() { m.caller(number) }) })
+		m.after(m.randDelay(100*time.Millisecond, 300*time.Millisecond), func() {
+			m.send(f, m.rand.IntN(len(m.tables)), 2, func(bool) { m.after(m.randDelay(time.Millisecond, 200*time.Millisecond), func() { m.call(number) }) })
 		})
 	})
 }
 
-// sweep has the leader look at suspects each second.
-func (m *model) sweep() {
-	m.put(m.docket.Expire(m.list.Since(0).GetSuspects(), m.moment()))
-	if m.now < modelLasts {
-		m.after(time.Second, m.sweep)
+// expire has the leader expire standings every second.
+func (m *simulation) expire() {
+	m.publish(m.tracker.Expire(m.list.Since(0).GetSuspects(), m.wallTime()))
+	if m.now < simulatedTime {
+		m.after(time.Second, m.expire)
 	}
 }
 
-// put puts how suspects stand in force; news reach the routers some time later.
-func (m *model) put(changes []*wire.Suspect) {
+// publish commits new standings; the routers receive them some time later.
+func (m *simulation) publish(changes []*wire.Suspect) {
 	if len(changes) == 0 {
 		return
 	}
@@ -231,27 +232,27 @@
 	m.list.Apply(&wire.Suspects{Suspects: changes})
 	news := m.list.Since(before)
 	for i := range m.tables {
-		m.after(m.between(2*time.Millisecond, 60*time.Millisecond), func() { m.tables[i].Take(news) })
+		m.after(m.randDelay(2*time.Millisecond, 60*time.Millisecond), func() { m.tables[i].Take(news) })
 	}
 }
 
-// insist sends the bad request again and again.
-func (m *model) insist() {
-	if m.now > modelLasts {
+// resendBad sends the bad request over and over.
+func (m *simulation) resendBad() {
+	if m.now > simulatedTime {
 		return
 	}
 	m.send(m.bad, m.rand.IntN(len(m.tables)), 2, func(bool) {
-		m.after(m.between(50*time.Millisecond, 400*time.Millisecond), m.insist)
+		m.after(m.randDelay(50*time.Millisecond, 400*time.Millisecond), m.resendBad)
 	})
 }
 
 func TestFleetsBarTheBadRequestAlone(t *testing.T) {
 	tests := []struct {
 		routers, engines int
-		// insisting callers send the bad request at the same time.
-		insisting int
-		// waves are how often a third of all engines ends at once, for a reason of its own.
-		waves int
+		// badCallers is how many callers send the bad request at the same time.
+		badCallers int
+		// massCrashes is how often a third of all engines crashes at once for another reason.
+		massCrashes int
 	}{
 		{4, 12, 1, 0},
 		{4, 12, 3, 0},
@@ -265,51 +266,50 @@
 		{410, 1900, 5, 2},
 	}
 	for _, tt := range tests {
-		t.Run(fmt.Sprintf("%d_routers_%d_insist_%d_waves", tt.routers, tt.insisting, tt.waves), func(t *testing.T) {
-			seeds, ends, barred, waits := 5, 0, 0, 0
+		t.Run(fmt.Sprintf("%d_routers_%d_insist_%d_waves", tt.routers, tt.badCallers, tt.massCrashes), func(t *testing.T) {
+			seeds, crashes, falselyBarred, trialRefusals := 5, 0, 0, 0
 			if tt.engines > 200 {
-				seeds = 1 // seconds each under the race detector
+				seeds = 1 // takes seconds under the race detector
 			}
 			for seed := range seeds {
-				m := &model{served: make(map[servedAt]time.Duration), rand: rand.New(rand.NewPCG(uint64(seed), 1)), tables: make([]Table, tt.routers), bad: sumachead.Fingerprint{1}}
+				m := &simulation{succeeded: make(map[successKey]time.Duration), rand: rand.New(rand.NewPCG(uint64(seed), 1)), tables: make([]Table, tt.routers), bad: sumachead.Fingerprint{1}}
 				for range tt.engines {
-					m.engines = append(m.engines, &modelEngine{up: true})
+					m.engines = append(m.engines, &engine{up: true})
 				}
-				for i := range tt.engines * perEngine {
-					m.after(m.between(0, time.Second), func() { m.caller(i) })
+				for i := range tt.engines * requestsPerEngine {
+					m.after(m.randDelay(0, time.Second), func() { m.call(i) })
 				}
-				for range tt.insisting {
-					m.after(m.between(time.Second, 1100*time.Millisecond), m.insist)
+				for range tt.badCallers {
+					m.after(m.randDelay(time.Second, 1100*time.Millisecond), m.resendBad)
 				}
-				for w := range tt.waves {
+				for w := range tt.massCrashes {
 					m.after(time.Duration(3+2*w)*time.Second, func() {
 						for i := range m.engines {
 							if m.rand.IntN(3) == 0 {
-								m.end(i)
+								m.crash(i)
 							}
 						}
 					})
 				}
-				m.sweep()
+				m.expire()
 				for len(m.events) > 0 {
-					e := heap.Pop(&m.events).(modelEvent)
+					e := heap.Pop(&m.events).(event)
 					m.now = e.at
 					e.do()
 				}
-				ends, barred, waits = max(ends, m.ends), barred+m.barred, waits+m.waits
+				crashes, falselyBarred, trialRefusals = max(crashes, m.crashes), falselyBarred+m.falselyBarred, trialRefusals+m.trialRefusals
 			}
-			t.Logf("at most %d ends; of the others %d refused as barred, %d told to come back", ends, barred, waits)
-			// What is under way when the second end is known can't be called back: a copy of each
-			// caller, and the second attempt of the first one that broke. The trial comes on top,
-			// and one more where a wave came at its moment, so that it proved nothing.
-			if most := tt.insisting + 2 + tt.waves; ends > most {
-				t.Errorf("%d servers ended, %d may", ends, most)
+			t.Logf("at most %d crashes; of the harmless requests %d were refused as barred, %d for lack of a trial", crashes, falselyBarred, trialRefusals)
+			// Requests in flight when the second crash is known can't be canceled: one of each caller,
+			// and the retry of the first that failed. The trial crashes another server, and one more
+			// if a mass crash at the same time invalidated its result.
+			if limit := tt.badCallers + 2 + tt.massCrashes; crashes > limit {
+				t.Errorf("%d servers crashed, want at most %d", crashes, limit)
 			}
-			// The request that many send may be on trial beside a bad one of which nothing is known
-			// yet, and is then tried again after reviewAfter: 3 refusals in 482 fleets, none in
-			// these.
-			if barred > 0 {
-				t.Errorf("%d requests that end nothing were refused as if they did", barred)
+			// The request that many callers send may be on trial beside a bad one that is not suspected
+			// yet, and is then tried again after retrialDelay: 3 refusals in 482 fleets, none in these.
+			if falselyBarred > 0 {
+				t.Errorf("%d harmless requests were refused as barred", falselyBarred)
 			}
 		})
 	}
--- a/internal/blame/table.go
+++ b/internal/blame/table.go
@@ -8,20 +8,20 @@
 	"sumachead/api/wire"
 )
 
-// Table is what a router knows of how suspects stand. It is safe for concurrent use; the
-// zero value is ready.
+// Table is a router's copy of the standings of suspects. It is safe for concurrent use; the zero
+// value is ready to use.
 type Table struct {
-	// held counts the suspects of which something is held: none on a usual day, on which a
-	// request then costs no hash.
-	held atomic.Int64
+	// active is the number of suspects that are not cleared. It is usually 0, in which case requests
+	// need not be hashed.
+	active atomic.Int64
 
 	mu       sync.Mutex // guards the fields below
 	revision uint64
-	suspects shelf
+	suspects suspectMap
 }
 
-// Take takes in how suspects stand, and returns those that stand otherwise than was known.
-// What is older than what is known changes nothing.
+// Merge merges standings into the table and returns the suspects whose standing changed. Older
+// revisions than the known ones are ignored.
 func (t *Table) Take(s *wire.Suspects) (changed []*wire.Suspect) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,28 +39,28 @@
 	return changed
 }
 
-// put replaces a suspect. The caller holds mu.
+// put sets a suspect. The caller holds mu.
 func (t *Table) put(f sumachead.Fingerprint, s *wire.Suspect) {
 	if t.suspects == nil {
-		t.suspects = make(shelf)
+		t.suspects = make(suspectMap)
 	}
 	before := t.suspects[f]
-	forgotten := t.suspects.put(f, s)
-	t.held.Add(held(s) - held(before) - held(forgotten))
+	evicted := t.suspects.put(f, s)
+	t.active.Add(activeCount(s) - activeCount(before) - activeCount(evicted))
 }
 
-// held returns 1 for a suspect of which something is held.
-func held(s *wire.Suspect) int64 {
+// activeCount returns 1 for a suspect that is not cleared, otherwise 0.
+func activeCount(s *wire.Suspect) int64 {
 	if s.GetStanding() == wire.Standing_STANDING_CLEARED {
 		return 0
 	}
 	return 1
 }
 
-// Held counts the suspects of which something is held.
-func (t *Table) Held() int { return int(t.held.Load()) }
+// ActiveCount returns the number of suspects that are not cleared.
+func (t *Table) Held() int { return int(t.active.Load()) }
 
-// Known returns how a request stands; ok is false for one that was never suspected.
+// Standing returns the standing of a request; ok is false if it was never suspected.
 func (t *Table) Known(f sumachead.Fingerprint) (s wire.Standing, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
