--- a/internal/rollout/book.go
+++ b/internal/rollout/book.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// replayWithin is for how long after its start a process applies what was logged long ago.
-	replayWithin = 3 * time.Second
-	// maxRejected bounds the versions that a service keeps as rejected; the oldest are dropped.
+	// replayTimeout is how long after its start a process may apply old log entries.
+	replayTimeout = 3 * time.Second
+	// maxRejected bounds the rejected versions of a service; the oldest are removed.
 	maxRejected = 32
 )
 
-// Book is the newest order of each service, as the fleet's log has it. What is logged depends on
-// no clock; for how long an order has stood is by the clock of this process. A Book is not safe
-// for concurrent use. Set the exported field before the first call.
+// Store is the replicated state of rollouts: the newest order of each service, to which the fleet's
+// log is applied. The replicated state depends on no clock; the ages of orders are measured by the
+// clock of this process. A Store is not safe for concurrent use. Set the exported field before the
+// first call.
 type Book struct {
 	Clock sumachead.Clock
 
-	// revision counts the changes that others are told of.
+	// revision counts the changes that other processes need to know.
 	revision uint64
-	// rollouts are by service; the messages are replaced, never changed.
+	// rollouts are keyed by service; the messages are replaced, never modified.
 	rollouts map[string]*wire.Rollout
-	// orderedAt is when services' newest orders were taken.
+	// orderedAt is when the newest order of each service was accepted.
 	orderedAt map[string]sumachead.BootTime
-	// openedAt is when this book was first used.
-	openedAt sumachead.BootTime
+	// replayStartedAt is when this process began to apply the log.
+	replayStartedAt sumachead.BootTime
 }
 
-// Order begins a roll-out, unless something has changed for the service since the order was
-// made.
+// Start starts a rollout, unless the service's rollout has changed since the order was made or is
+// still in progress.
 func (b *Book) Order(o *wire.RolloutOrder) *wire.RolloutReply {
 	old := b.rollouts[o.GetService()]
 	if old.GetRevision() != o.GetAgainst() || !Ended(old) {
@@ -50,7 +51,7 @@
 	return &wire.RolloutReply{Taken: true}
 }
 
-// rejected returns the versions that stay rejected once a target is ordered after a roll-out.
+// rejected returns the versions that are rejected once a target is ordered after an old rollout.
 func rejected(old *wire.Rollout, target string) []string {
 	out := slices.Clone(old.GetRejected())
 	if old.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK {
@@ -60,13 +61,13 @@
 	return out[max(len(out)-maxRejected, 0):]
 }
 
-// Ended reports whether a roll-out, nil for none, goes on no more.
+// Ended reports whether a rollout, nil for none, is no longer in progress.
 func Ended(r *wire.Rollout) bool {
 	return r == nil || r.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_COMPLETE || r.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK
 }
 
-// Step moves a roll-out to its next phase, unless it is there or beyond. What has ended stays
-// as it ended.
+// Advance moves a rollout to its next phase, unless it is in that or a later one. A rollout that has
+// ended doesn't change any more.
 func (b *Book) Step(s *wire.RolloutStep) *wire.RolloutReply {
 	old := b.rollouts[s.GetService()]
 	if old.GetOrder() != s.GetOrder() || Ended(old) || s.GetPhase() <= old.GetPhase() {
@@ -82,8 +83,8 @@
 	return &wire.RolloutReply{Taken: true}
 }
 
-// Allow raises what may have been sent to the target version on trial; nobody but a later
-// leader needs to know.
+// RaiseAllowance raises the number of requests that may be sent to the target version on trial. It
+// keeps the revision, since only a later leader needs to know the allowance.
 func (b *Book) Allow(a *wire.RolloutAllowance) *wire.RolloutReply {
 	old := b.rollouts[a.GetService()]
 	if old.GetOrder() != a.GetOrder() || Ended(old) || a.GetAllowed() < old.GetAllowed() {
@@ -95,53 +96,53 @@
 	return &wire.RolloutReply{Taken: true}
 }
 
-// put replaces a service's roll-out.
+// put replaces a service's rollout.
 func (b *Book) put(r *wire.Rollout) {
 	if b.rollouts == nil {
 		b.rollouts = make(map[string]*wire.Rollout)
 		b.orderedAt = make(map[string]sumachead.BootTime)
 	}
 	now := b.Clock.Now()
-	if b.openedAt == 0 {
-		b.openedAt = now
+	if b.replayStartedAt == 0 {
+		b.replayStartedAt = now
 	}
 	if old := b.rollouts[r.GetService()]; old.GetOrder() != r.GetOrder() {
 		b.orderedAt[r.GetService()] = now
-		if now.Sub(b.openedAt) <= replayWithin {
-			b.orderedAt[r.GetService()] = now.Add(-ageByDay(r))
+		if now.Sub(b.replayStartedAt) <= replayTimeout {
+			b.orderedAt[r.GetService()] = now.Add(-wallClockAge(r))
 		}
 	}
 	b.rollouts[r.GetService()] = r
 }
 
-// ageByDay returns for how long an order has stood by the time of day, which may be wrong by
-// seconds. It is for orders that were logged while this process did not run, or was behind.
-func ageByDay(r *wire.Rollout) time.Duration {
+// wallClockAge returns the age of an order by the wall clock, which may be wrong by seconds. It is
+// used for orders that were logged while this process was down or lagged behind.
+func wallClockAge(r *wire.Rollout) time.Duration {
 	age := time.Since(time.UnixMilli(r.GetOrderedUnixMillis()))
-	return min(max(age, 0), lasts(r))
+	return min(max(age, 0), orderDuration(r))
 }
 
-// lasts returns how long an order has from the order to its deadline.
-func lasts(r *wire.Rollout) time.Duration {
+// orderDuration returns the time from an order to its deadline.
+func orderDuration(r *wire.Rollout) time.Duration {
 	return time.Duration(r.GetDeadlineUnixMillis()-r.GetOrderedUnixMillis()) * time.Millisecond
 }
 
-// Open starts the time within which the book may be read from what was logged long ago.
-func (b *Book) Open() { b.openedAt = b.Clock.Now() }
+// StartReplay starts the interval in which old log entries may be applied.
+func (b *Book) Open() { b.replayStartedAt = b.Clock.Now() }
 
-// Get returns the newest roll-out of a service, nil for none, which must not be changed.
+// Get returns the newest rollout of a service, nil for none, which must not be modified.
 func (b *Book) Get(service string) *wire.Rollout { return b.rollouts[service] }
 
-// Times returns when the newest order of a service was taken, and its deadline.
+// Times returns when the newest order of a service was accepted, and its deadline.
 func (b *Book) Times(service string) (ordered, deadline sumachead.BootTime) {
 	ordered = b.orderedAt[service]
-	return ordered, ordered.Add(lasts(b.rollouts[service]))
+	return ordered, ordered.Add(orderDuration(b.rollouts[service]))
 }
 
-// Revision returns that of the newest change.
+// Revision returns the revision of the newest change.
 func (b *Book) Revision() uint64 { return b.revision }
 
-// Tell returns all roll-outs with their ages.
+// SnapshotWithAges returns all rollouts with their ages.
 func (b *Book) Tell() *wire.Rollouts {
 	s := b.Snapshot()
 	now := b.Clock.Now()
@@ -152,7 +153,7 @@
 	return s
 }
 
-// Snapshot returns what is stored; the messages in it must not be changed.
+// Snapshot returns the replicated state; the messages in it must not be modified.
 func (b *Book) Snapshot() *wire.Rollouts {
 	s := &wire.Rollouts{Revision: b.revision}
 	for _, r := range b.rollouts {
@@ -162,13 +163,13 @@
 	return s
 }
 
-// Restore replaces everything by what was stored.
+// Restore replaces the state with a snapshot.
 func (b *Book) Restore(s *wire.Rollouts) {
 	old := *b
 	b.revision, b.rollouts, b.orderedAt = s.GetRevision(), nil, nil
 	for _, r := range s.GetRollouts() {
 		b.put(r)
-		b.orderedAt[r.GetService()] = b.Clock.Now().Add(-ageByDay(r))
+		b.orderedAt[r.GetService()] = b.Clock.Now().Add(-wallClockAge(r))
 		if old.rollouts[r.GetService()].GetOrder() == r.GetOrder() {
 			b.orderedAt[r.GetService()] = old.orderedAt[r.GetService()]
 		}
--- a/internal/rollout/book_test.go
+++ b/internal/rollout/book_test.go
@@ -12,12 +12,12 @@
 	"sumachead/api/wire"
 )
 
-// newBook returns a book of a process that has run for long.
-func newBook() (*Book, *playedClock) {
-	c := &playedClock{now: 1}
+// newStore returns the store of a process that started long ago.
+func newStore() (*Book, *fakeClock) {
+	c := &fakeClock{now: 1}
 	b := &Book{Clock: c}
 	b.Open()
-	c.now = c.now.Add(2 * replayWithin)
+	c.now = c.now.Add(2 * replayTimeout)
 	return b, c
 }
 
@@ -37,26 +37,26 @@
 	tests := []struct {
 		name string
 		do   []proto.Message
-		// taken is whether the last one was, and the others what then stands.
+		// taken is whether the last message was accepted; target and phase are the state after it.
 		taken  bool
 		target string
 		phase  wire.RolloutPhase
 	}{
 		{"an order", []proto.Message{order("v2", 0)}, true, "v2", trial},
-		{"an order made against an older state", []proto.Message{order("v2", 0), step(1, rolledBack), order("v3", 0)}, false, "v2", rolledBack},
-		{"another order while one goes on", []proto.Message{order("v2", 0), order("v3", 1)}, false, "v2", trial},
-		{"a late copy of an order that has ended", []proto.Message{order("v2", 0), step(1, complete), order("v2", 0)}, false, "v2", complete},
+		{"an order based on an older revision", []proto.Message{order("v2", 0), step(1, rolledBack), order("v3", 0)}, false, "v2", rolledBack},
+		{"another order while one is in progress", []proto.Message{order("v2", 0), order("v3", 1)}, false, "v2", trial},
+		{"a late duplicate of an order that has ended", []proto.Message{order("v2", 0), step(1, complete), order("v2", 0)}, false, "v2", complete},
 		{"a new order after the end", []proto.Message{order("v2", 0), step(1, rolledBack), order("v2", 2)}, true, "v2", trial},
 		{"a step", []proto.Message{order("v2", 0), step(1, moving)}, true, "v2", moving},
 		{"a step back", []proto.Message{order("v2", 0), step(1, moving), step(1, trial)}, false, "v2", moving},
-		{"a step of an earlier order", []proto.Message{order("v2", 0), step(1, rolledBack), order("v3", 2), step(1, complete)}, false, "v3", trial},
+		{"a step of a previous order", []proto.Message{order("v2", 0), step(1, rolledBack), order("v3", 2), step(1, complete)}, false, "v3", trial},
 		{"complete after rolled back", []proto.Message{order("v2", 0), step(1, rolledBack), step(1, complete)}, false, "v2", rolledBack},
 		{"rolled back after complete", []proto.Message{order("v2", 0), step(1, complete), step(1, rolledBack)}, false, "v2", complete},
-		{"rolled back in the move", []proto.Message{order("v2", 0), step(1, moving), step(1, rolledBack)}, true, "v2", rolledBack},
+		{"rolled back while moving", []proto.Message{order("v2", 0), step(1, moving), step(1, rolledBack)}, true, "v2", rolledBack},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, _ := newBook()
+			b, _ := newStore()
 			var reply *wire.RolloutReply
 			for _, m := range tt.do {
 				switch x := m.(type) {
@@ -68,23 +68,24 @@
 			}
 			got := b.Get("s")
 			if reply.GetTaken() != tt.taken || got.GetTarget() != tt.target || got.GetPhase() != tt.phase {
-				t.Errorf("taken %v, then %v", reply.GetTaken(), got)
+				t.Errorf("accepted: %v, then %v", reply.GetTaken(), got)
 			}
 		})
 	}
 }
 
-// A version that was rolled back is rejected until it is ordered again, whatever else is.
+// A version that was rolled back stays rejected until it is ordered again, whichever other versions
+// are ordered in between.
 func TestRolledBackVersionsStayRejected(t *testing.T) {
-	b, _ := newBook()
+	b, _ := newStore()
 	end := func(target string, p wire.RolloutPhase) {
 		t.Helper()
 		old := b.Get("s")
 		if !b.Order(&wire.RolloutOrder{Service: "s", Target: target, Against: old.GetRevision()}).GetTaken() {
-			t.Fatalf("the order for %s was not taken", target)
+			t.Fatalf("the order for %s was not accepted", target)
 		}
 		if !b.Step(&wire.RolloutStep{Service: "s", Order: b.Get("s").GetOrder(), Phase: p}).GetTaken() {
-			t.Fatalf("the end of %s was not taken", target)
+			t.Fatalf("the end of %s was not accepted", target)
 		}
 	}
 	const (
@@ -108,19 +109,19 @@
 	for _, tt := range steps {
 		end(tt.target, tt.phase)
 		if d := cmp.Diff(tt.want, b.Get("s").GetRejected()); d != "" {
-			t.Errorf("rejected once %s has ended (-want +got):\n%s", tt.target, d)
+			t.Errorf("rejected versions after %s has ended (-want +got):\n%s", tt.target, d)
 		}
 	}
 	for i := range 3 * maxRejected {
 		end(fmt.Sprint("w", i), rolledBack)
 	}
 	if n := len(b.Get("s").GetRejected()); n != maxRejected {
-		t.Errorf("%d versions are kept as rejected, want %d", n, maxRejected)
+		t.Errorf("%d rejected versions, want %d", n, maxRejected)
 	}
 }
 
-func TestABookIsRestoredWhole(t *testing.T) {
-	b, c := newBook()
+func TestStoreIsRestored(t *testing.T) {
+	b, c := newStore()
 	start := time.Now()
 	b.Order(&wire.RolloutOrder{
 		Service: "s", Target: "v2", OrderedUnixMillis: start.UnixMilli(), DeadlineUnixMillis: start.Add(time.Minute).UnixMilli(),
@@ -136,22 +137,23 @@
 	if err := proto.Unmarshal(data, stored); err != nil {
 		t.Fatal(err)
 	}
-	other, _ := newBook()
+	other, _ := newStore()
 	other.Restore(stored)
 	if diff := cmp.Diff(b.Snapshot(), other.Snapshot(), protocmp.Transform()); diff != "" {
-		t.Errorf("restored otherwise (-was +is):\n%s", diff)
+		t.Errorf("restored state differs (-want +got):\n%s", diff)
 	}
-	// Its own life of an order goes on by its own clock.
+	// A restored order that is known already keeps its age by this process's clock.
 	b.Restore(stored)
 	ordered, deadline := b.Times("s")
 	if c.now.Sub(ordered) != time.Second || deadline.Sub(ordered) != time.Minute {
-		t.Errorf("ordered %v ago, for %v", c.now.Sub(ordered), deadline.Sub(ordered))
+		t.Errorf("age of the order: %v, duration: %v", c.now.Sub(ordered), deadline.Sub(ordered))
 	}
 }
 
-// A process that has just started reads old orders: their time goes on, and does not begin anew.
-func TestAnOrderThatIsReadAgainIsAsOldAsItIs(t *testing.T) {
-	c := &playedClock{now: 1}
+// A process that has just started replays old orders from the log. Their age must not restart at 0,
+// or their deadlines would move into the future.
+func TestReplayedOrderKeepsItsAge(t *testing.T) {
+	c := &fakeClock{now: 1}
 	b := &Book{Clock: c}
 	b.Open()
 	at := time.Now().Add(-5 * time.Second)
@@ -160,6 +162,6 @@
 	})
 	_, deadline := b.Times("s")
 	if left := deadline.Sub(c.now); left < 2*time.Second || left > 3*time.Second {
-		t.Errorf("%v are left of 8 s, 5 s after the order", left)
+		t.Errorf("%v remaining of 8 s, 5 s after the order", left)
 	}
 }
--- a/internal/rollout/classes.go
+++ b/internal/rollout/classes.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Lengths of time are counted by classes, each a quarter longer than the one before, so that
-// histograms of many routers add up.
+// Durations are counted in buckets, each a quarter wider than the previous one. All routers use the
+// same buckets, so that their histograms can be added.
 
 const (
-	// firstClass is the upper end of the first class.
-	firstClass = time.Millisecond
-	// classFactor is how many times longer each class is than the one before.
-	classFactor = 1.25
-	// classes is how many there are: the last one holds all from some minutes on.
-	classes = 56
+	// firstBound is the upper bound of the first bucket.
+	firstBound = time.Millisecond
+	// boundFactor is the ratio of the bounds of consecutive buckets.
+	boundFactor = 1.25
+	// numBuckets is the number of buckets. The last one holds all durations from a few minutes on.
+	numBuckets = 56
 )
 
-// classOf returns the class of a length of time.
-func classOf(d time.Duration) int {
-	if d <= firstClass {
+// bucketOf returns the index of the bucket of a duration.
+func bucketOf(d time.Duration) int {
+	if d <= firstBound {
 		return 0
 	}
-	c := math.Ceil(math.Log(float64(d)/float64(firstClass)) / math.Log(classFactor))
-	return min(int(c), classes-1)
+	c := math.Ceil(math.Log(float64(d)/float64(firstBound)) / math.Log(boundFactor))
+	return min(int(c), numBuckets-1)
 }
 
-// histogram counts lengths of time by class.
-type histogram [classes]int64
+// histogram counts durations by bucket.
+type histogram [numBuckets]int64
 
-// add counts one more.
-func (h *histogram) add(d time.Duration) { h[classOf(d)]++ }
+// add counts a duration.
+func (h *histogram) add(d time.Duration) { h[bucketOf(d)]++ }
 
-// total returns how many are counted.
+// total returns the number of durations counted.
 func (h *histogram) total() int64 { return h.above(-1) }
 
-// above returns how many are of a higher class.
-func (h *histogram) above(class int) int64 {
+// above returns the number of durations in buckets above one.
+func (h *histogram) above(bucket int) int64 {
 	var n int64
-	for _, x := range h[min(max(class+1, 0), classes):] {
+	for _, x := range h[min(max(bucket+1, 0), numBuckets):] {
 		n += x
 	}
 	return n
 }
 
-// quantile returns the class below or in which a part of all is.
-func (h *histogram) quantile(part float64) int {
-	want := part * float64(h.total())
+// quantile returns the lowest bucket at or below which there is the given fraction of all durations.
+func (h *histogram) quantile(fraction float64) int {
+	want := fraction * float64(h.total())
 	var n int64
 	for c, x := range h {
 		n += x
@@ -54,17 +54,17 @@
 			return c
 		}
 	}
-	return classes - 1
+	return numBuckets - 1
 }
 
-// merge adds another's counts, which may end early.
+// merge adds the counts of another histogram, which may omit zeros at the end.
 func (h *histogram) merge(counts []uint32) {
-	for c, x := range counts[:min(len(counts), classes)] {
+	for c, x := range counts[:min(len(counts), numBuckets)] {
 		h[c] += int64(x)
 	}
 }
 
-// encode returns the counts without the zeros at the end.
+// encode returns the counts without zeros at the end.
 func (h *histogram) encode() []uint32 {
 	var out []uint32
 	for c, x := range h {
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -7,70 +7,71 @@
 	"sumachead/api/wire"
 )
 
-// life names one life of a router.
-type life struct{ node, boot string }
+// incarnation identifies an incarnation of a router.
+type incarnation struct{ node, boot string }
 
-// tally is what became of requests.
-type tally struct {
-	answers, failed int64
-	// first are times until answers began, and pace those between the events of answers.
-	first, pace histogram
+// outcomes counts the outcomes of requests.
+type outcomes struct {
+	responses, failed int64
+	// first are the times until the first event of responses, and intervals those between events.
+	first, intervals histogram
 }
 
-// merge adds what a router tells.
-func (t *tally) merge(a *wire.RolloutAnswers) {
-	t.answers += a.GetAnswers()
+// merge adds the counts that a router reports.
+func (t *outcomes) merge(a *wire.RolloutAnswers) {
+	t.responses += a.GetAnswers()
 	t.failed += a.GetFailed()
 	t.first.merge(a.GetFirst())
-	t.pace.merge(a.GetPace())
+	t.intervals.merge(a.GetPace())
 }
 
-// Evidence is what routers have told of one order: of each of their lives the newest report,
-// whose counts are totals. The zero value is ready; it is not safe for concurrent use.
-type Evidence struct {
-	reports map[life]*wire.RolloutReport
+// Results holds the outcomes that routers have reported for one order: the newest report of each
+// incarnation, since its counts are totals. The zero value is ready to use; it is not safe for
+// concurrent use.
+type Results struct {
+	reports map[incarnation]*wire.RolloutReport
 }
 
-// Take takes in a report. It must not be changed any more.
-func (e *Evidence) Take(r *wire.RolloutReport) {
+// Add adds a report, which must not be modified afterwards.
+func (e *Results) Add(r *wire.RolloutReport) {
 	if e.reports == nil {
-		e.reports = make(map[life]*wire.RolloutReport)
+		e.reports = make(map[incarnation]*wire.RolloutReport)
 	}
-	e.reports[life{r.GetNode(), r.GetBoot()}] = r
+	e.reports[incarnation{r.GetNode(), r.GetBoot()}] = r
 }
 
-// routeEvidence is what is known of one route.
-type routeEvidence struct {
+// routeResults holds the outcomes on one route.
+type routeResults struct {
 	name string
-	// others are all servers of other versions; target is by server.
-	others tally
-	target map[string]*tally
+	// baseline are all servers of other versions; target is keyed by server.
+	baseline outcomes
+	target   map[string]*outcomes
 }
 
-// sums are all reports added up.
-type sums struct {
-	// routes are in the order of their names.
-	routes []*routeEvidence
-	// ended are the servers of the target version that have ended under requests.
-	ended map[string]bool
+// totals are the sums of all reports.
+type totals struct {
+	// routes are sorted by name.
+	routes []*routeResults
+	// crashed are the servers of the target version that have crashed while running requests.
+	crashed map[string]bool
 }
 
-// sum adds up the reports.
-func (e *Evidence) sum() *sums {
-	byName := make(map[string]*routeEvidence)
-	s := &sums{ended: make(map[string]bool)}
+// sum returns the totals of the reports.
+func (e *Results) sum() *totals {
+	byName := make(map[string]*routeResults)
+	s := &totals{crashed: make(map[string]bool)}
 	for _, r := range e.reports {
 		for _, a := range r.GetAnswers() {
 			if a.GetEnded() {
-				s.ended[a.GetServer()] = true
+				s.crashed[a.GetServer()] = true
 				continue
 			}
 			x := byName[a.GetRoute()]
 			if x == nil {
-				x = &routeEvidence{name: a.GetRoute(), target: make(map[string]*tally)}
+				x = &routeResults{name: a.GetRoute(), target: make(map[string]*outcomes)}
 				byName[a.GetRoute()] = x
 			}
-			x.tallyOf(a.GetServer()).merge(a)
+			x.outcomesOf(a.GetServer()).merge(a)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
@@ -79,23 +80,23 @@
 	return s
 }
 
-// tallyOf returns the tally of a server of the target version, or of all others where none is
-// named.
-func (r *routeEvidence) tallyOf(server string) *tally {
+// outcomesOf returns the outcomes of a server of the target version, or of the baseline for the empty
+// name.
+func (r *routeResults) outcomesOf(server string) *outcomes {
 	if server == "" {
-		return &r.others
+		return &r.baseline
 	}
 	if r.target[server] == nil {
-		r.target[server] = &tally{}
+		r.target[server] = &outcomes{}
 	}
 	return r.target[server]
 }
 
-// sampled returns how many answers of the target version are known.
-func (r *routeEvidence) sampled() int64 {
+// canaryResponses returns the number of responses of the target version.
+func (r *routeResults) canaryResponses() int64 {
 	var n int64
 	for _, t := range r.target {
-		n += t.answers
+		n += t.responses
 	}
 	return n
 }
--- a/internal/rollout/exposure.go
+++ b/internal/rollout/exposure.go
@@ -7,67 +7,68 @@
 )
 
 const (
-	// sharePart and slackPart are what is used of the bounds on what a bad version may get:
-	// others may count requests a little otherwise than routers do.
-	sharePart = 0.9
-	slackPart = 0.8
-	// firstGrants is how many requests may go to the target version at once.
-	firstGrants = 5
-	// tranche is the least by which the committed allowance is raised, so that the log is
-	// written some times a second at most.
-	tranche = 8
-	// fairPart is the part of its requests, one in so many, that a router may send to the
-	// target version.
-	fairPart = 4
+	// shareFactor and slackFactor are the fractions of the bounds on the exposure that are used:
+	// other parties may count requests slightly differently than routers do.
+	shareFactor = 0.9
+	slackFactor = 0.8
+	// initialAllowance is how many requests may go to the target version at the start.
+	initialAllowance = 5
+	// minAllowanceStep is the minimum by which the committed allowance is raised, so that the log is
+	// written at most a few times a second.
+	minAllowanceStep = 8
+	// fairShareDivisor bounds what a router may send to the target version: one in so many of its
+	// requests.
+	fairShareDivisor = 4
 )
 
-// Bounds are what a bad version may get: a share of a service's requests, and so many more.
+// Bounds limits the requests that a bad version may receive: a share of a service's requests, plus a
+// constant number.
 type Bounds struct {
 	Share float64
 	Slack float64
 }
 
 // Exposure is the leading keeper's account of the requests that routers may send to the target
-// version of one order. Of what it grants, all counts as sent until a router says that it never
-// will send it. It grants nothing beyond what is committed, and a new leader takes all that was
-// committed for sent: so the sum of what routers send is bounded by what is committed, and
-// that by what has reached the service, whatever is lost on the way.
+// version of one order. Granted requests count as sent until a router reports that it will never
+// send them. Grants never exceed the committed allowance, and a new leader assumes that all of the
+// allowance was sent. So the requests that routers send are bounded by the allowance, and that by
+// the requests that have reached the service, whatever messages are lost.
 //
-// It is not safe for concurrent use; make it with NewExposure.
+// It is not safe for concurrent use; create it with NewExposure.
 type Exposure struct {
-	// reached is how many requests have reached the service, at least, and allowed what is
-	// committed.
+	// reached is the minimum number of requests that have reached the service, and allowed the
+	// committed allowance.
 	reached, allowed int64
-	// granted is what may have been sent.
+	// granted is the number of requests that may have been sent.
 	granted int64
-	routers map[life]*holder
+	routers map[incarnation]*account
 }
 
-// holder is what is known of one life of a router.
-type holder struct {
-	// number is that of its last report, and reply the answer to it.
+// account is the state of an incarnation of a router.
+type account struct {
+	// number is the number of its last report, and reply the reply to it.
 	number uint64
 	reply  *wire.RolloutGrants
-	// reached, granted and lapsed are as it told them last; granted also counts what it was
-	// sent in the last answer.
+	// reached, granted and lapsed are from its last report; granted also counts the grant in the
+	// last reply.
 	reached, granted, lapsed int64
 }
 
-// NewExposure returns the account of a leader that finds a roll-out as it is committed.
+// NewExposure returns the account of a leader that starts with a committed rollout.
 func NewExposure(r *wire.Rollout) *Exposure {
 	return &Exposure{
-		reached: r.GetReached(), allowed: r.GetAllowed(), granted: r.GetAllowed(), routers: make(map[life]*holder),
+		reached: r.GetReached(), allowed: r.GetAllowed(), granted: r.GetAllowed(), routers: make(map[incarnation]*account),
 	}
 }
 
-// Take takes in a report. Where it is a copy of the last one of its router, it returns the
-// answer to that; stale is set for an older one, which is answered with nothing.
-func (x *Exposure) Take(r *wire.RolloutReport) (answered *wire.RolloutGrants, stale bool) {
-	id := life{r.GetNode(), r.GetBoot()}
+// HandleReport processes a report. If it is a duplicate of the last report of its router, it returns
+// the reply to that; stale is set for an older one, which gets no reply.
+func (x *Exposure) HandleReport(r *wire.RolloutReport) (reply *wire.RolloutGrants, stale bool) {
+	id := incarnation{r.GetNode(), r.GetBoot()}
 	h := x.routers[id]
 	if h == nil {
-		// What it was granted by an earlier leader is counted already.
-		x.routers[id] = &holder{number: r.GetNumber(), reached: r.GetReached(), granted: r.GetGranted(), lapsed: r.GetLapsed()}
+		// What an earlier leader granted is counted already.
+		x.routers[id] = &account{number: r.GetNumber(), reached: r.GetReached(), granted: r.GetGranted(), lapsed: r.GetLapsed()}
 		return nil, false
 	}
 	if r.GetNumber() <= h.number {
@@ -76,7 +77,7 @@
 		}
 		return nil, true
 	}
-	// Of what it was sent it has not heard, it never will: it takes one answer at a time.
+	// A grant that the router has not received by now is lost: it waits for one reply at a time.
 	x.granted -= h.granted - r.GetGranted() + r.GetLapsed() - h.lapsed
 	x.reached += r.GetReached() - h.reached
 	h.number, h.reply = r.GetNumber(), nil
@@ -84,45 +85,45 @@
 	return nil, false
 }
 
-// Wanted returns what should be committed now, of the bounds and the part of the trial that has
-// passed; ok is false where that is not worth a commit.
+// NextAllowance returns the allowance to commit now, given the bounds and the fraction of the trial
+// that has passed; ok is false if the increase is not worth a commit.
 func (x *Exposure) Wanted(b Bounds, passed float64) (allowed int64, ok bool) {
-	slack := firstGrants + (slackPart*b.Slack-firstGrants)*min(max(passed, 0), 1)
-	allowed = int64(sharePart*b.Share*float64(x.reached) + min(slack, slackPart*b.Slack))
-	least := int64(tranche)
+	slack := initialAllowance + (slackFactor*b.Slack-initialAllowance)*min(max(passed, 0), 1)
+	allowed = int64(shareFactor*b.Share*float64(x.reached) + min(slack, slackFactor*b.Slack))
+	minStep := int64(minAllowanceStep)
 	if x.allowed == 0 {
-		least = 1
+		minStep = 1
 	}
-	return allowed, allowed-x.allowed >= least
+	return allowed, allowed-x.allowed >= minStep
 }
 
-// Reached returns how many requests are known to have reached the service.
+// Reached returns the number of requests known to have reached the service.
 func (x *Exposure) Reached() int64 { return x.reached }
 
-// Committed notes what has been committed.
+// SetCommitted sets the allowance that has been committed.
 func (x *Exposure) Committed(allowed int64) { x.allowed = max(x.allowed, allowed) }
 
-// Room returns how many requests may be granted now.
-func (x *Exposure) Room() int64 { return max(x.allowed-x.granted, 0) }
+// Available returns how many requests may be granted now.
+func (x *Exposure) Available() int64 { return max(x.allowed-x.granted, 0) }
 
-// Grant grants requests to a router as the answer to its last report.
+// Grant grants requests to a router as the reply to its last report.
 func (x *Exposure) Grant(r *wire.RolloutReport, g *wire.RolloutGrants) {
-	h := x.routers[life{r.GetNode(), r.GetBoot()}]
+	h := x.routers[incarnation{r.GetNode(), r.GetBoot()}]
 	x.granted += g.GetRequests()
 	h.granted += g.GetRequests()
 	h.reply = g
 }
 
-// Fair returns how much of the room a router gets that has had some requests since its last
-// report: some of them at the most, so that all routers have a part, and one for a router with
-// few, which may be where the next request of a rare route comes.
-func Fair(room, arrivals int64) int64 {
+// FairShare returns how many of the available requests to grant to a router with the given number of
+// arrivals since its last report. It is bounded by a fraction of them, so that all routers get a
+// part, but at least one, since the next request of a rare route may arrive at a router with few.
+func FairShare(available, arrivals int64) int64 {
 	if arrivals == 0 {
 		return 0
 	}
-	return min(room, max(arrivals/fairPart, 1))
+	return min(available, max(arrivals/fairShareDivisor, 1))
 }
 
-// validFor is for how long a grant is good: a router that is cut off sends nothing more to a
-// version that may have been found bad meanwhile.
-const validFor = time.Second
+// grantTTL is how long a grant may be used: a partitioned router must stop sending to a version that
+// may have been found bad in the meantime.
+const grantTTL = time.Second
--- a/internal/rollout/few.go
+++ b/internal/rollout/few.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// fewPart is the part of the servers of the target version that get the samples: as they
-	// get about that part of the requests, each has as many as it will have after the move, and
-	// a version that is bad under load shows it.
-	fewPart = 0.1
-	// fewLeast is the least number of them, so that one that fails alone stands out.
-	fewLeast = 3
+	// canaryFraction is the fraction of the servers of the target version that receive the sampled
+	// requests. It is about the fraction of requests that are sampled, so that each server has the
+	// same load as after the move, which reveals a version that fails under load.
+	canaryFraction = 0.1
+	// minCanaries is the minimum number of canary servers, so that a single faulty one stands out.
+	minCanaries = 3
 )
 
-// Few picks the servers of the target version that get the samples, the same at all routers, out
-// of those that are fit.
-func Few(servers []*wire.ServerRecord, fit func(*wire.ServerRecord) bool) []*wire.ServerRecord {
+// CanaryServers returns the servers of the target version that receive the sampled requests, out of
+// those that are usable. All routers choose the same ones.
+func Few(servers []*wire.ServerRecord, usable func(*wire.ServerRecord) bool) []*wire.ServerRecord {
 	out := slices.Clone(servers)
-	out = slices.DeleteFunc(out, func(r *wire.ServerRecord) bool { return !fit(r) })
-	slices.SortFunc(out, func(a, b *wire.ServerRecord) int { return cmp.Compare(lot(a), lot(b)) })
-	n := max(int(fewPart*float64(len(servers)))+1, fewLeast)
+	out = slices.DeleteFunc(out, func(r *wire.ServerRecord) bool { return !usable(r) })
+	slices.SortFunc(out, func(a, b *wire.ServerRecord) int { return cmp.Compare(idHash(a), idHash(b)) })
+	n := max(int(canaryFraction*float64(len(servers)))+1, minCanaries)
 	return out[:min(n, len(out))]
 }
 
-// lot draws a server's place among those of its version.
-func lot(r *wire.ServerRecord) uint64 {
+// idHash returns a hash of a server's ID, which gives a pseudorandom order.
+func idHash(r *wire.ServerRecord) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(r.GetId())) // a hash takes everything
+	_, _ = h.Write([]byte(r.GetId())) // a hash never returns an error
 	return h.Sum64()
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -5,250 +5,253 @@
 	"math"
 )
 
-// The target version is judged by a sequential test: how much likelier what is known would be,
-// if the version failed more requests than the others do, than if it did not. That may be asked
-// as often as one likes. What the others do is counted at the same time and under the same
-// load, and taken at the upper end of what it may be.
+// The target version is evaluated by a sequential test on the likelihood ratio of the outcomes: how
+// much likelier they are if the version fails more requests than the baseline than if it does not.
+// Such a test may be repeated at any time. The baseline is measured at the same time and under the
+// same load, and the upper bound of its confidence interval is used.
 //
-// A server that fails while the rest of its version does well is the server's fault. So what
-// speaks against a version must do so without its worst server.
+// If one server fails while the rest of its version does well, the server is at fault. So the
+// evidence against a version must hold without its worst server.
 
 const (
-	// foundBad is how much likelier what is known has to be under a bad version: a good one
-	// is taken for bad less than once in so many.
-	foundBad = 1000
-	// foundGood is how much likelier what is known has to be under a version like the others
-	// than under one that fails worthwhile more. Without its worst server, foundGoodWithout.
-	foundGood        = 3
-	foundGoodWithout = 20
-	// worthwhile is the share of requests that a bad version fails, beside what the others do,
-	// for which foundGood is asked, and worthwhileOfRoute that of one route, of which less is
-	// known.
-	worthwhile        = 0.1
-	worthwhileOfRoute = 0.2
-	// sure is by how many deviations the others' share is taken higher than it was seen.
-	sure = 2.5
-	// leastShare is the least share of failures that is expected of any version.
-	leastShare = 0.005
-	// slowClasses is by how many classes of length an answer is longer than most of the others'
-	// that is several times as slow.
-	slowClasses = 4
-	// usualPart is the part of the others' answers that count as usual, however long they take.
-	usualPart = 0.98
-	// leastOthers is how many answers of the others have to be known to say what is slow.
-	leastOthers = 20
-	// leastSampled is how many answers of a route have to be known, unless it has few: then a
-	// part of them, one in sampledOf.
-	leastSampled = 11
-	sampledOf    = 4
+	// badRatio is the likelihood ratio from which on a version is bad: a good one is taken for bad
+	// less than once in so many rollouts.
+	badRatio = 1000
+	// goodRatio is the likelihood ratio from which on a version is good, between one like the baseline
+	// and one that fails minEffect more. Without its worst server it is goodRatioWithoutWorst.
+	goodRatio             = 3
+	goodRatioWithoutWorst = 20
+	// minEffect is the share of requests that a bad version fails in addition to the baseline, as
+	// tested by goodRatio, and minRouteEffect that for one route, which has fewer responses.
+	minEffect      = 0.1
+	minRouteEffect = 0.2
+	// wilsonZ is the upper bound of the baseline's share in standard deviations above the measured
+	// one.
+	wilsonZ = 2.5
+	// minBadShare is the minimum share of failures that is expected of any version.
+	minBadShare = 0.005
+	// slowBuckets is how many histogram buckets above the median of the baseline a response is several
+	// times slower.
+	slowBuckets = 4
+	// usualQuantile is the fraction of the baseline's responses that are never slow, however long they
+	// take.
+	usualQuantile = 0.98
+	// minBaselineResponses is how many responses of the baseline are needed to define what is slow.
+	minBaselineResponses = 20
+	// minCanaryResponses is how many canary responses of a route are needed. A route with few requests
+	// needs one in minCanaryDivisor of its responses instead.
+	minCanaryResponses = 11
+	minCanaryDivisor   = 4
 )
 
-// badShares are the shares of failures that a bad version may have.
+// badShares are the additional shares of failures that are tested for a bad version.
 var badShares = []float64{0.03, 0.1, 0.3, 0.9}
 
-// Verdict is what is held of a target version.
+// Verdict is the result of the evaluation of a target version.
 type Verdict int
 
 // The verdicts.
 const (
-	// VerdictOpen: nothing speaks against it so far.
-	VerdictOpen Verdict = iota
-	// VerdictBad: it fails more requests than the others.
+	// VerdictUndecided: there is no evidence against it so far.
+	VerdictUndecided Verdict = iota
+	// VerdictBad: it fails more requests than the baseline.
 	VerdictBad
-	// VerdictGood: it may take the place of the others.
+	// VerdictGood: it may replace the other versions.
 	VerdictGood
-	// VerdictThin: too little is known of it.
-	VerdictThin
+	// VerdictInsufficient: there is too little evidence that it is good.
+	VerdictInsufficient
 )
 
-// judge says what is held of the target version by what is known, with the reason in words.
-// Only where the trial is over, it is found to be good.
-func judge(s *sums, over bool) (v Verdict, why string) {
-	all := newComparison("", s.ended)
+// evaluate returns the verdict on the target version, with the reason in words. A version is good
+// only after the trial is over.
+func evaluate(s *totals, over bool) (v Verdict, why string) {
+	all := newComparison("", s.crashed)
 	parts := []*comparison{all}
 	for _, r := range s.routes {
 		c := newComparison(r.name, nil)
-		c.compare(r)
-		all.add(c)
+		c.addRoute(r)
+		all.merge(c)
 		parts = append(parts, c)
 	}
 	for _, c := range parts {
-		if c.against() >= math.Log(foundBad*float64(len(parts))) {
+		if c.logRatioWithoutWorst() >= math.Log(badRatio*float64(len(parts))) {
 			return VerdictBad, c.String()
 		}
 	}
 	if !over {
-		return VerdictOpen, ""
+		return VerdictUndecided, ""
 	}
 	for i, c := range parts {
 		switch {
-		case i > 0 && c.thin(s.routes[i-1]):
-			return VerdictThin, "too few answers are known: " + c.String()
-		case !c.good() && (c.bad() > 0 || i == 0):
-			return VerdictThin, "it is not known to do as well as the others: " + c.String()
+		case i > 0 && c.isInsufficient(s.routes[i-1]):
+			return VerdictInsufficient, "too few answers are known: " + c.String()
+		case !c.isGood() && (c.badResponses() > 0 || i == 0):
+			return VerdictInsufficient, "it is not known to do as well as the others: " + c.String()
 		}
 	}
 	return VerdictGood, all.String()
 }
 
-// counted is what is known of one server, against what is expected of it.
-type counted struct {
-	// answers, and bad ones among them: failed, or several times slower than the others'.
-	answers, bad int64
-	// weights are, for each of badShares, the logarithm of how much likelier that is with so
-	// many failures beside the others' than without.
-	weights [4]float64
-	// better and betterOfRoute are the same for the shares that are worthwhile, against what was
-	// seen of the others.
-	better, betterOfRoute float64
+// serverEvidence holds the responses of one server and how they compare with what is expected.
+type serverEvidence struct {
+	// responses counts all responses, and bad those that failed or were several times slower than the
+	// baseline's.
+	responses, bad int64
+	// logRatios are, for each of badShares, the logarithm of the likelihood ratio between a version
+	// that fails this share in addition to the baseline and one that does not.
+	logRatios [4]float64
+	// effectLogRatio and routeEffectLogRatio are the same for minEffect and minRouteEffect, against
+	// the expected share of the baseline instead of its upper bound.
+	effectLogRatio, routeEffectLogRatio float64
 }
 
-// comparison is what speaks for and against a version, on one route or on all.
+// comparison is the evidence for and against a version, on one route or on all routes.
 type comparison struct {
 	route string
-	// servers are those of the target version.
-	servers map[string]*counted
+	// servers are the servers of the target version.
+	servers map[string]*serverEvidence
 }
 
-// newComparison begins one with servers of the target version that have ended under requests:
-// each is one failure, however many requests it had.
-func newComparison(route string, ended map[string]bool) *comparison {
-	c := &comparison{route: route, servers: make(map[string]*counted)}
-	for id := range ended {
-		c.server(id).count(1, 1, leastShare, leastShare)
+// newComparison returns a comparison with the servers of the target version that have crashed while
+// running requests. Each crash is one failure, however many requests it affected.
+func newComparison(route string, crashed map[string]bool) *comparison {
+	c := &comparison{route: route, servers: make(map[string]*serverEvidence)}
+	for id := range crashed {
+		c.server(id).add(1, 1, minBadShare, minBadShare)
 	}
 	return c
 }
 
-func (c *comparison) server(id string) *counted {
+func (c *comparison) server(id string) *serverEvidence {
 	if c.servers[id] == nil {
-		c.servers[id] = &counted{}
+		c.servers[id] = &serverEvidence{}
 	}
 	return c.servers[id]
 }
 
-// compare counts what is known of a route.
-func (c *comparison) compare(r *routeEvidence) {
-	slowFirst, slowPace := slowFrom(&r.others.first), slowFrom(&r.others.pace)
-	bad := func(t *tally) int64 {
-		return min(t.failed+max(t.first.above(slowFirst), t.pace.above(slowPace)), t.answers)
+// addRoute adds the results of a route.
+func (c *comparison) addRoute(r *routeResults) {
+	slowFirst, slowInterval := slowThreshold(&r.baseline.first), slowThreshold(&r.baseline.intervals)
+	bad := func(t *outcomes) int64 {
+		return min(t.failed+max(t.first.above(slowFirst), t.intervals.above(slowInterval)), t.responses)
 	}
-	seen, most := share(bad(&r.others), r.others.answers)
+	expected, upper := badShare(bad(&r.baseline), r.baseline.responses)
 	for id, t := range r.target {
-		c.server(id).count(t.answers, bad(t), seen, most)
+		c.server(id).add(t.responses, bad(t), expected, upper)
 	}
 }
 
-// slowFrom returns the class above which lengths of time are several times those of most.
-func slowFrom(h *histogram) int {
-	if h.total() < leastOthers {
-		return classes
+// slowThreshold returns the bucket above which durations are several times the usual ones.
+func slowThreshold(h *histogram) int {
+	if h.total() < minBaselineResponses {
+		return numBuckets
 	}
 	const half = 0.5
-	return max(h.quantile(half)+slowClasses, h.quantile(usualPart))
+	return max(h.quantile(half)+slowBuckets, h.quantile(usualQuantile))
 }
 
-// share returns the share of bad answers of the others as it is expected by what was seen
-// (Laplace's rule), and the most that it may be (the upper end of Wilson's interval).
-func share(bad, answers int64) (seen, most float64) {
-	seen = float64(bad+1) / float64(answers+2)
-	if answers == 0 {
-		return seen, 1
+// badShare returns the expected share of bad responses of the baseline (by Laplace's rule of
+// succession) and its upper bound (that of the Wilson score interval).
+func badShare(bad, responses int64) (expected, upper float64) {
+	expected = float64(bad+1) / float64(responses+2)
+	if responses == 0 {
+		return expected, 1
 	}
-	n, p := float64(answers), float64(bad)/float64(answers)
-	const z = sure
-	most = (p + z*z/(2*n) + z*math.Sqrt(p*(1-p)/n+z*z/(4*n*n))) / (1 + z*z/n)
-	return max(seen, leastShare), max(most, leastShare)
+	n, p := float64(responses), float64(bad)/float64(responses)
+	const z = wilsonZ
+	upper = (p + z*z/(2*n) + z*math.Sqrt(p*(1-p)/n+z*z/(4*n*n))) / (1 + z*z/n)
+	return max(expected, minBadShare), max(upper, minBadShare)
 }
 
-// count takes in answers of a server, of which a share is expected to be bad that lies between
-// what was seen of the others and the most that it may be.
-func (c *counted) count(answers, bad int64, seen, most float64) {
-	c.answers += answers
+// add adds responses of a server, given the expected share of bad responses of the baseline and the
+// upper bound of that share.
+func (c *serverEvidence) add(responses, bad int64, expected, upper float64) {
+	c.responses += responses
 	c.bad += bad
 	for i, s := range badShares {
-		c.weights[i] += weight(answers, bad, most, s)
+		c.logRatios[i] += logRatio(responses, bad, upper, s)
 	}
-	c.better += weight(answers, bad, seen, worthwhile)
-	c.betterOfRoute += weight(answers, bad, seen, worthwhileOfRoute)
+	c.effectLogRatio += logRatio(responses, bad, expected, minEffect)
+	c.routeEffectLogRatio += logRatio(responses, bad, expected, minRouteEffect)
 }
 
-// weight returns the logarithm of how much likelier answers are where a version fails a share
-// beside the others' than where it does not.
-func weight(answers, bad int64, others, more float64) float64 {
-	if others >= 1 {
+// logRatio returns the logarithm of the likelihood ratio of responses between a version that fails
+// an additional share of requests and one that fails the share of the baseline.
+func logRatio(responses, bad int64, baseline, additional float64) float64 {
+	if baseline >= 1 {
 		return 0
 	}
-	both := others + more*(1-others)
-	return float64(bad)*math.Log(both/others) + float64(answers-bad)*math.Log(1-more)
+	both := baseline + additional*(1-baseline)
+	return float64(bad)*math.Log(both/baseline) + float64(responses-bad)*math.Log(1-additional)
 }
 
-// add takes in what another comparison counts.
-func (c *comparison) add(o *comparison) {
+// merge adds the evidence of another comparison.
+func (c *comparison) merge(o *comparison) {
 	for id, x := range o.servers {
 		s := c.server(id)
-		s.answers += x.answers
+		s.responses += x.responses
 		s.bad += x.bad
-		s.better += x.better
-		s.betterOfRoute += x.betterOfRoute
-		for i, w := range x.weights {
-			s.weights[i] += w
+		s.effectLogRatio += x.effectLogRatio
+		s.routeEffectLogRatio += x.routeEffectLogRatio
+		for i, w := range x.logRatios {
+			s.logRatios[i] += w
 		}
 	}
 }
 
-// against returns the logarithm of how much likelier what is known is under a bad version, the
-// shares of failures being as likely as each other, without the version's worst server.
-func (c *comparison) against() float64 {
-	least := c.mixed("")
+// logRatioWithoutWorst returns the logarithm of the likelihood ratio between a bad version, with all
+// badShares equally likely, and one like the baseline, without the version's worst server.
+func (c *comparison) logRatioWithoutWorst() float64 {
+	lowest := c.mixtureLogRatio("")
 	if len(c.servers) == 1 {
-		return least
+		return lowest
 	}
 	for id := range c.servers {
-		least = min(least, c.mixed(id))
+		lowest = min(lowest, c.mixtureLogRatio(id))
 	}
-	return least
+	return lowest
 }
 
-// mixed is against without one server.
-func (c *comparison) mixed(without string) float64 {
+// mixtureLogRatio returns the logarithm of the likelihood ratio without one server, none for the
+// empty ID.
+func (c *comparison) mixtureLogRatio(without string) float64 {
 	var sum float64
 	for i := range badShares {
 		var w float64
 		for id, x := range c.servers {
 			if id != without {
-				w += x.weights[i]
+				w += x.logRatios[i]
 			}
 		}
-		sum += math.Exp(min(w, 700)) / float64(len(badShares)) // e^700 is near the largest there is
+		sum += math.Exp(min(w, 700)) / float64(len(badShares)) // e^700 is near the largest float64
 	}
 	return math.Log(sum)
 }
 
-// good reports whether what is known is likelier under a version like the others than under one
-// that fails worthwhile more.
-func (c *comparison) good() bool {
+// isGood reports whether the evidence favors a version like the baseline over one that fails
+// minEffect more.
+func (c *comparison) isGood() bool {
 	total := 0.0
 	worst := math.Inf(-1)
 	for _, x := range c.servers {
-		better := x.better
+		r := x.effectLogRatio
 		if c.route != "" {
-			better = x.betterOfRoute
+			r = x.routeEffectLogRatio
 		}
-		total += better
-		worst = max(worst, better)
+		total += r
+		worst = max(worst, r)
 	}
-	return total < -math.Log(foundGood) || len(c.servers) > 1 && total-worst < -math.Log(foundGoodWithout)
+	return total < -math.Log(goodRatio) || len(c.servers) > 1 && total-worst < -math.Log(goodRatioWithoutWorst)
 }
 
-// thin reports whether too little is known of a route that had requests.
-func (c *comparison) thin(r *routeEvidence) bool {
-	n := r.sampled()
-	return n < min(leastSampled, (r.others.answers+n)/sampledOf)
+// isInsufficient reports whether a route has too few canary responses for its requests.
+func (c *comparison) isInsufficient(r *routeResults) bool {
+	n := r.canaryResponses()
+	return n < min(minCanaryResponses, (r.baseline.responses+n)/minCanaryDivisor)
 }
 
-// bad returns how many answers were bad.
-func (c *comparison) bad() int64 {
+// badResponses returns the number of bad responses.
+func (c *comparison) badResponses() int64 {
 	var n int64
 	for _, x := range c.servers {
 		n += x.bad
@@ -256,15 +259,15 @@
 	return n
 }
 
-// String says what is known.
+// String summarizes the comparison.
 func (c *comparison) String() string {
 	var n int64
 	for _, x := range c.servers {
-		n += x.answers
+		n += x.responses
 	}
 	where := "all routes"
 	if c.route != "" {
 		where = "route " + c.route
 	}
-	return fmt.Sprintf("%s: %d of %d answers of the target version were bad, at %d servers", where, c.bad(), n, len(c.servers))
+	return fmt.Sprintf("%s: %d of %d answers of the target version were bad, at %d servers", where, c.badResponses(), n, len(c.servers))
 }
--- a/internal/rollout/played_test.go
+++ b/internal/rollout/played_test.go
@@ -12,173 +12,175 @@
 	"sumachead/api/wire"
 )
 
-// playedClock is a host's clock that a test moves.
-type playedClock struct{ now sumachead.BootTime }
+// fakeClock is a clock whose time the test sets.
+type fakeClock struct{ now sumachead.BootTime }
 
-func (c *playedClock) Now() sumachead.BootTime { return c.now }
+func (c *fakeClock) Now() sumachead.BootTime { return c.now }
 
-// playedRoute is a kind of request.
-type playedRoute struct {
-	name      string
-	perSecond float64
-	once      bool
-	// fails is the share that servers of any version fail.
-	fails float64
-	// takes is how long an answer takes at the median.
-	takes time.Duration
+// simulatedRoute describes the requests of one route.
+type simulatedRoute struct {
+	name          string
+	perSecond     float64
+	notIdempotent bool
+	// failureShare is the share of requests that servers of any version fail.
+	failureShare float64
+	// median is the approximate median of the response time.
+	median time.Duration
 }
 
-// badness is what is wrong with a version.
-type badness struct {
-	// share of its answers are failures, or take slower times as long.
-	share  float64
-	slower float64
-	// after is from when on, by the order; route the only one concerned, empty for all; loaded
-	// that it shows only at a server that gets as much as servers of the others do.
-	after  time.Duration
-	route  string
-	loaded bool
+// defect describes what is wrong with a version.
+type defect struct {
+	// share is the share of its responses that fail, or that take slowdown times as long.
+	share    float64
+	slowdown float64
+	// after is how long after the order the defect begins; route is the only one affected, empty for
+	// all; underLoad restricts the defect to servers with about the load of the baseline's servers.
+	after     time.Duration
+	route     string
+	underLoad bool
 }
 
-// trouble is what happens beside a roll-out.
-type trouble struct {
-	// lost is the share of messages that are lost on either way, doubled, or come late.
+// faults are the faults that are injected during a rollout.
+type faults struct {
+	// lost is the share of messages that are lost in either direction, duplicated or delayed.
 	lost float64
-	// cut: routers are cut off for seconds; killed: they start anew.
-	cut, killed bool
-	// leaders change every second or so.
-	leaders bool
-	// grey is how many servers of the target version fail half of all, whatever the version.
-	grey int
+	// partitions: routers are partitioned for seconds; restarts: routers are restarted.
+	partitions, restarts bool
+	// leaderChanges: the leader changes every second or so.
+	leaderChanges bool
+	// flakyServers is how many servers of the target version fail half of their requests, whatever the
+	// defect of the version.
+	flakyServers int
 }
 
-// play is a fleet that rolls out a service, on a clock of its own.
-type play struct {
-	rand    *rand.Rand
-	clock   *playedClock
-	routes  []playedRoute
-	servers int
-	lasts   time.Duration
-	bad     badness
-	trouble trouble
-	bounds  Bounds
+// simulation is a fleet that rolls out a service, with a simulated clock.
+type simulation struct {
+	rand     *rand.Rand
+	clock    *fakeClock
+	routes   []simulatedRoute
+	servers  int
+	duration time.Duration
+	defect   defect
+	faults   faults
+	bounds   Bounds
 
-	book    *Book
-	watch   *Watch
-	targets []*wire.ServerRecord
-	routers []*playedRouter
+	store      *Book
+	controller *Watch
+	targets    []*wire.ServerRecord
+	routers    []*simulatedRouter
 
 	reached, exposed int64
-	badAnswers       int64
+	badResponses     int64
 	fiftiethAt       time.Duration
-	// lateExposed is how many samples were sent long after the 50th bad answer.
+	// lateExposed is how many requests were sampled long after the 50th bad response.
 	lateExposed int64
-	// overcounted is by how much the leader took more requests for having come than had.
+	// overcounted is by how much the leader's count of arrived requests exceeded the actual one.
 	overcounted int64
-	// late are reports on their way that come after newer ones.
-	late      []*wire.RolloutReport
+	// delayed are reports that will arrive after newer ones.
+	delayed   []*wire.RolloutReport
 	perServer map[string][]time.Duration
-	// endedAfter is how long after the order the leader decided last.
+	// endedAfter is the time from the order to the last decision of the leader.
 	endedAfter time.Duration
 }
 
-// playedRouter is one router.
-type playedRouter struct {
+// simulatedRouter is one router.
+type simulatedRouter struct {
 	*Sampler
-	cutUntil sumachead.BootTime
-	lives    int
+	partitionedUntil sumachead.BootTime
+	incarnation      int
 }
 
 const (
-	playedTick = 10 * time.Millisecond
-	// rollbackWithin is within what nothing may go to a version after its 50th bad answer.
-	rollbackWithin = 5 * time.Second
+	tick = 10 * time.Millisecond
+	// rollbackTimeout is the time after the 50th bad response from which on nothing may be sent to a
+	// version.
+	rollbackTimeout = 5 * time.Second
 )
 
-// newPlay begins a play with an order.
-func newPlay(seed uint64, routers, servers int, lasts time.Duration, routes []playedRoute) *play {
-	p := &play{
-		rand: rand.New(rand.NewPCG(seed, 1)), clock: &playedClock{now: sumachead.BootTime(time.Hour)}, routes: routes, servers: servers,
-		lasts: lasts, bounds: Bounds{Share: 0.1, Slack: 50}, perServer: make(map[string][]time.Duration),
-	}
-	p.book = &Book{Clock: p.clock}
-	p.book.Open()
-	p.clock.now = p.clock.now.Add(2 * replayWithin)
-	p.book.Order(&wire.RolloutOrder{Service: "s", Target: "v2", DeadlineUnixMillis: lasts.Milliseconds()})
+// newSimulation returns a simulation with an order that has just started.
+func newSimulation(seed uint64, routers, servers int, lasts time.Duration, routes []simulatedRoute) *simulation {
+	p := &simulation{
+		rand: rand.New(rand.NewPCG(seed, 1)), clock: &fakeClock{now: sumachead.BootTime(time.Hour)}, routes: routes, servers: servers,
+		duration: lasts, bounds: Bounds{Share: 0.1, Slack: 50}, perServer: make(map[string][]time.Duration),
+	}
+	p.store = &Book{Clock: p.clock}
+	p.store.Open()
+	p.clock.now = p.clock.now.Add(2 * replayTimeout)
+	p.store.Order(&wire.RolloutOrder{Service: "s", Target: "v2", DeadlineUnixMillis: lasts.Milliseconds()})
 	for i := range servers {
 		p.targets = append(p.targets, &wire.ServerRecord{Id: fmt.Sprintf("new-%d", i), Service: "s", Software: "v2"})
 	}
 	for i := range routers {
 		p.routers = append(p.routers, p.newRouter(i, 0))
 	}
-	p.lead()
+	p.changeLeader()
 	return p
 }
 
-func (p *play) newRouter(i, life int) *playedRouter {
-	r := &playedRouter{Sampler: &Sampler{
-		Clock: p.clock, Node: sumachead.NodeID(fmt.Sprintf("router-%d", i)), Boot: sumachead.BootID(fmt.Sprint(life)),
-	}, lives: life}
-	r.Follow(p.book.Tell())
+func (p *simulation) newRouter(i, n int) *simulatedRouter {
+	r := &simulatedRouter{Sampler: &Sampler{
+		Clock: p.clock, Node: sumachead.NodeID(fmt.Sprintf("router-%d", i)), Boot: sumachead.BootID(fmt.Sprint(n)),
+	}, incarnation: n}
+	r.Follow(p.store.Tell())
 	return r
 }
 
-// lead has a new leader watch the order, which knows only what is logged.
-func (p *play) lead() {
-	r := p.book.Get("s")
-	ordered, deadline := p.book.Times("s")
-	p.watch = &Watch{
+// changeLeader replaces the leader by a new one, which knows only the replicated state.
+func (p *simulation) changeLeader() {
+	r := p.store.Get("s")
+	ordered, deadline := p.store.Times("s")
+	p.controller = &Watch{
 		Service: "s", Order: r.GetOrder(), Ordered: ordered, Deadline: deadline, Longest: 2 * time.Second, Bounds: p.bounds,
 		Exposure: NewExposure(r),
 	}
 }
 
-// since is how long ago the order was.
-func (p *play) since() time.Duration { return p.clock.now.Sub(p.watch.Ordered) }
+// sinceOrder returns the time since the order.
+func (p *simulation) sinceOrder() time.Duration { return p.clock.now.Sub(p.controller.Ordered) }
 
-// run plays until the order has ended, and some time more.
-func (p *play) run() wire.RolloutPhase {
-	for p.since() < p.lasts+time.Second {
-		p.clock.now = p.clock.now.Add(playedTick)
-		p.disturb()
+// run runs the simulation until a second after the deadline and returns the last phase.
+func (p *simulation) run() wire.RolloutPhase {
+	for p.sinceOrder() < p.duration+time.Second {
+		p.clock.now = p.clock.now.Add(tick)
+		p.injectFaults()
 		for _, r := range p.routers {
 			p.serve(r)
 		}
-		if p.since()%(50*time.Millisecond) == 0 {
+		if p.sinceOrder()%(50*time.Millisecond) == 0 {
 			for _, r := range p.routers {
-				p.tell(r)
+				p.exchange(r)
 			}
 		}
-		if p.since()%watchTick == 0 {
-			p.look()
+		if p.sinceOrder()%controllerInterval == 0 {
+			p.step()
 		}
 	}
-	return p.book.Get("s").GetPhase()
+	return p.store.Get("s").GetPhase()
 }
 
-const watchTick = 100 * time.Millisecond
+const controllerInterval = 100 * time.Millisecond
 
-// disturb causes trouble.
-func (p *play) disturb() {
-	const second = float64(time.Second / playedTick)
-	if p.trouble.leaders && p.rand.Float64()*second < 1 {
-		p.lead()
+// injectFaults injects random faults.
+func (p *simulation) injectFaults() {
+	const second = float64(time.Second / tick)
+	if p.faults.leaderChanges && p.rand.Float64()*second < 1 {
+		p.changeLeader()
 	}
 	for i, r := range p.routers {
-		if p.trouble.cut && p.rand.Float64()*second*8 < 1 {
-			r.cutUntil = p.clock.now.Add(time.Duration(1+p.rand.IntN(8)) * time.Second)
+		if p.faults.partitions && p.rand.Float64()*second*8 < 1 {
+			r.partitionedUntil = p.clock.now.Add(time.Duration(1+p.rand.IntN(8)) * time.Second)
 		}
-		if p.trouble.killed && p.rand.Float64()*second*8 < 1 {
-			p.routers[i] = p.newRouter(i, r.lives+1)
-			p.routers[i].cutUntil = r.cutUntil
+		if p.faults.restarts && p.rand.Float64()*second*8 < 1 {
+			p.routers[i] = p.newRouter(i, r.incarnation+1)
+			p.routers[i].partitionedUntil = r.partitionedUntil
 		}
 	}
 }
 
-// serve has the requests of a tick come to a router.
-func (p *play) serve(r *playedRouter) {
+// serve sends the requests of one tick to a router.
+func (p *simulation) serve(r *simulatedRouter) {
 	for _, x := range p.routes {
-		mean := x.perSecond * playedTick.Seconds() / float64(len(p.routers))
+		mean := x.perSecond * tick.Seconds() / float64(len(p.routers))
 		for mean > 0 && p.rand.Float64() < mean {
 			mean--
 			p.request(r, x)
@@ -186,37 +188,37 @@
 	}
 }
 
-// request plays one request.
-func (p *play) request(r *playedRouter, x playedRoute) {
+// request simulates one request.
+func (p *simulation) request(r *simulatedRouter, x simulatedRoute) {
 	p.reached++
-	s := Sample{Service: "s", Route: x.name, Version: "v1", Server: "old", Counts: true, First: p.length(x)}
-	s.Failed = p.rand.Float64() < x.fails
+	s := Sample{Service: "s", Route: x.name, Version: "v1", Server: "old", Counts: true, First: p.randLatency(x)}
+	s.Failed = p.rand.Float64() < x.failureShare
 	if r.Draw("s", x.name) {
 		few := Few(p.targets, func(*wire.ServerRecord) bool { return true })
 		s.Server, s.Version = few[p.rand.IntN(len(few))].GetId(), "v2"
-		p.expose(&s, x)
+		p.serveCanary(&s, x)
 	}
 	r.Note(s)
 }
 
-// expose plays a request at the target version.
-func (p *play) expose(s *Sample, x playedRoute) {
+// serveCanary simulates a request at the target version.
+func (p *simulation) serveCanary(s *Sample, x simulatedRoute) {
 	p.exposed++
-	if p.fiftiethAt > 0 && p.since() > p.fiftiethAt+rollbackWithin {
+	if p.fiftiethAt > 0 && p.sinceOrder() > p.fiftiethAt+rollbackTimeout {
 		p.lateExposed++
 	}
-	if p.shows(s, x) && p.rand.Float64() < p.bad.share {
-		p.badAnswers++
-		if p.badAnswers == 50 {
-			p.fiftiethAt = p.since()
+	if p.isDefective(s, x) && p.rand.Float64() < p.defect.share {
+		p.badResponses++
+		if p.badResponses == 50 {
+			p.fiftiethAt = p.sinceOrder()
 		}
-		if p.bad.slower > 0 {
-			s.First = time.Duration(float64(s.First) * p.bad.slower)
+		if p.defect.slowdown > 0 {
+			s.First = time.Duration(float64(s.First) * p.defect.slowdown)
 		} else {
 			s.Failed = true
 		}
 	}
-	for i := range p.trouble.grey {
+	for i := range p.faults.flakyServers {
 		few := Few(p.targets, func(*wire.ServerRecord) bool { return true })
 		if s.Server == few[i].GetId() {
 			s.Failed = s.Failed || p.rand.IntN(2) == 0
@@ -224,9 +226,9 @@
 	}
 }
 
-// shows reports whether the version's fault may show with a request.
-func (p *play) shows(s *Sample, x playedRoute) bool {
-	now := p.since()
+// isDefective reports whether the defect of the version may affect a request.
+func (p *simulation) isDefective(s *Sample, x simulatedRoute) bool {
+	now := p.sinceOrder()
 	lately := p.perServer[s.Server]
 	for len(lately) > 0 && now-lately[0] > time.Second {
 		lately = lately[1:]
@@ -236,36 +238,37 @@
 	for _, y := range p.routes {
 		total += y.perSecond
 	}
-	// A few less than a server usually has in a second: arrivals vary.
-	const nearly = 0.6
-	loaded := float64(len(lately)) >= nearly*total/float64(p.servers)
-	return now >= p.bad.after && (p.bad.route == "" || p.bad.route == x.name) && (!p.bad.loaded || loaded)
+	// Somewhat below the average load of a server, since arrivals vary.
+	const loadFactor = 0.6
+	loaded := float64(len(lately)) >= loadFactor*total/float64(p.servers)
+	return now >= p.defect.after && (p.defect.route == "" || p.defect.route == x.name) && (!p.defect.underLoad || loaded)
 }
 
-// length draws how long an answer takes: some take three times as long as others.
-func (p *play) length(x playedRoute) time.Duration {
-	return time.Duration(float64(x.takes) * (0.6 + p.rand.ExpFloat64()*0.5))
+// randLatency returns a random response time; some are three times as long as others.
+func (p *simulation) randLatency(x simulatedRoute) time.Duration {
+	return time.Duration(float64(x.median) * (0.6 + p.rand.ExpFloat64()*0.5))
 }
 
-// tell has a router report, and tells it what is in force, as far as messages come through.
-func (p *play) tell(r *playedRouter) {
-	if p.clock.now < r.cutUntil {
+// exchange has a router send its reports and receive the state and the replies, unless messages are
+// lost.
+func (p *simulation) exchange(r *simulatedRouter) {
+	if p.clock.now < r.partitionedUntil {
 		for _, x := range r.Due() {
 			r.Take(x, nil, p.clock.now)
 		}
 		return
 	}
-	r.Follow(p.book.Tell())
+	r.Follow(p.store.Tell())
 	madeAt := p.clock.now
 	for _, x := range r.Due() {
 		var g *wire.RolloutGrants
-		if p.rand.Float64() >= p.trouble.lost {
-			g = p.answer(x)
-			if p.rand.Float64() < p.trouble.lost {
-				p.answer(x) // a copy of the question, by another way
-				p.late = append(p.late, proto.CloneOf(x))
+		if p.rand.Float64() >= p.faults.lost {
+			g = p.reply(x)
+			if p.rand.Float64() < p.faults.lost {
+				p.reply(x) // a duplicate of the report, over another path
+				p.delayed = append(p.delayed, proto.CloneOf(x))
 			}
-			if p.rand.Float64() < p.trouble.lost {
+			if p.rand.Float64() < p.faults.lost {
 				g = nil
 			}
 		}
@@ -273,29 +276,29 @@
 	}
 }
 
-// answer is the leader's answer to a report; it has a copy of its own, as after the network.
-func (p *play) answer(x *wire.RolloutReport) *wire.RolloutGrants {
-	if Ended(p.book.Get("s")) {
+// reply returns the leader's reply to a report, of which it gets a copy, as over a network.
+func (p *simulation) reply(x *wire.RolloutReport) *wire.RolloutGrants {
+	if Ended(p.store.Get("s")) {
 		return nil
 	}
-	answered, stale := p.watch.Take(proto.CloneOf(x), p.book.Get("s"))
-	if answered != nil || stale {
-		return answered
+	reply, stale := p.controller.Take(proto.CloneOf(x), p.store.Get("s"))
+	if reply != nil || stale {
+		return reply
 	}
-	once := func(route string) bool {
+	notIdempotent := func(route string) bool {
 		for _, y := range p.routes {
 			if y.name == route {
-				return y.once
+				return y.notIdempotent
 			}
 		}
 		return false
 	}
-	return p.watch.Answer(x, once, len(p.routers), p.clock.now)
+	return p.controller.Answer(x, notIdempotent, len(p.routers), p.clock.now)
 }
 
-// look has the leader look at the roll-out and commit what is due.
-func (p *play) look() {
-	r := p.book.Get("s")
+// step has the leader process delayed reports and commit the next step or allowance.
+func (p *simulation) step() {
+	r := p.store.Get("s")
 	if Ended(r) {
 		return
 	}
@@ -303,84 +306,86 @@
 	for _, x := range p.routers {
 		f.Routers = append(f.Routers, string(x.Node))
 	}
-	for len(p.late) > 0 && p.rand.IntN(2) == 0 {
-		p.answer(p.late[0]) // its router has asked again since, and takes no answer to it
-		p.late = p.late[1:]
+	for len(p.delayed) > 0 && p.rand.IntN(2) == 0 {
+		p.reply(p.delayed[0]) // its router has sent a newer report and ignores the reply
+		p.delayed = p.delayed[1:]
 	}
-	p.overcounted = max(p.overcounted, p.watch.Exposure.Reached()-p.reached)
-	p.watch.Exposure.Committed(r.GetAllowed())
-	if s := p.watch.Next(r, f, p.clock.now); s != nil {
-		p.book.Step(s)
-		p.endedAfter = p.since()
+	p.overcounted = max(p.overcounted, p.controller.Exposure.Reached()-p.reached)
+	p.controller.Exposure.Committed(r.GetAllowed())
+	if s := p.controller.Next(r, f, p.clock.now); s != nil {
+		p.store.Step(s)
+		p.endedAfter = p.sinceOrder()
 		return
 	}
-	if allowed, ok := p.watch.Exposure.Wanted(p.bounds, p.watch.Passed(p.clock.now)); ok && r.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL {
-		p.book.Allow(&wire.RolloutAllowance{Service: "s", Order: r.GetOrder(), Allowed: allowed, Reached: p.watch.Exposure.Reached()})
+	if allowed, ok := p.controller.Exposure.Wanted(p.bounds, p.controller.Passed(p.clock.now)); ok && r.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL {
+		p.store.Allow(&wire.RolloutAllowance{Service: "s", Order: r.GetOrder(), Allowed: allowed, Reached: p.controller.Exposure.Reached()})
 	}
 }
 
-// The shapes of services that are played: engines with many requests, an application with few.
+// The simulated services: engines with many requests, an application with few, and a service with a
+// rare route.
 var (
-	playedEngines = []playedRoute{
-		{name: "summary", perSecond: 125, takes: 200 * time.Millisecond},
-		{name: "question", perSecond: 150, takes: 60 * time.Millisecond},
+	engineRoutes = []simulatedRoute{
+		{name: "summary", perSecond: 125, median: 200 * time.Millisecond},
+		{name: "question", perSecond: 150, median: 60 * time.Millisecond},
 	}
-	playedDesk = []playedRoute{
-		{name: "order", perSecond: 53, once: true, fails: 0.01, takes: 60 * time.Millisecond},
-		{name: "lookup", perSecond: 37, fails: 0.01, takes: 60 * time.Millisecond},
+	appRoutes = []simulatedRoute{
+		{name: "order", perSecond: 53, notIdempotent: true, failureShare: 0.01, median: 60 * time.Millisecond},
+		{name: "lookup", perSecond: 37, failureShare: 0.01, median: 60 * time.Millisecond},
 	}
-	playedThin = []playedRoute{
-		{name: "often", perSecond: 40, takes: 60 * time.Millisecond},
-		{name: "rare", perSecond: 1, takes: 60 * time.Millisecond},
+	rareRoutes = []simulatedRoute{
+		{name: "often", perSecond: 40, median: 60 * time.Millisecond},
+		{name: "rare", perSecond: 1, median: 60 * time.Millisecond},
 	}
 )
 
-// What a bad version gets is bounded by counting, whatever is lost: requests sent to the target
-// version never exceed what is committed, nor what may be sent of the requests that came until
-// then, and none is sent long after the 50th bad answer, not even by a router that is cut off.
+// Lost, duplicated and delayed messages, partitions, restarts and leader changes must not raise the
+// exposure: requests sent to the target version never exceed the committed allowance nor the bounds
+// for the requests that arrived until then, and none is sent long after the 50th bad response, not
+// even by a partitioned router.
 func TestExposureIsBounded(t *testing.T) {
 	tests := []struct {
 		name    string
-		trouble trouble
+		trouble faults
 	}{
-		{"calm", trouble{}},
-		{"messages are lost and doubled", trouble{lost: 0.3}},
-		{"routers are cut off", trouble{cut: true, lost: 0.1}},
-		{"routers are killed", trouble{killed: true, lost: 0.1}},
-		{"leaders change", trouble{leaders: true, lost: 0.1}},
-		{"all of it", trouble{leaders: true, killed: true, cut: true, lost: 0.3}},
+		{"calm", faults{}},
+		{"messages are lost and duplicated", faults{lost: 0.3}},
+		{"routers are partitioned", faults{partitions: true, lost: 0.1}},
+		{"routers are restarted", faults{restarts: true, lost: 0.1}},
+		{"the leader changes", faults{leaderChanges: true, lost: 0.1}},
+		{"all faults", faults{leaderChanges: true, restarts: true, partitions: true, lost: 0.3}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
 				for _, share := range []float64{0, 0.02, 0.1, 1} {
-					p := newPlay(seed, 23, 45, 12*time.Second, playedEngines)
-					p.trouble, p.bad.share = tt.trouble, share
-					p.watchExposure(t, seed)
+					p := newSimulation(seed, 23, 45, 12*time.Second, engineRoutes)
+					p.faults, p.defect.share = tt.trouble, share
+					p.checkExposure(t, seed)
 				}
 			}
 		})
 	}
 }
 
-// watchExposure plays and looks at the bound all along.
-func (p *play) watchExposure(t *testing.T, seed uint64) {
+// checkExposure runs the simulation and checks the bounds on the exposure.
+func (p *simulation) checkExposure(t *testing.T, seed uint64) {
 	t.Helper()
 	phase := p.run()
-	if most := p.bounds.Share*float64(p.reached) + p.bounds.Slack; float64(p.exposed) > most {
-		t.Errorf("seed %d, share %v: %d of %d requests went to the target version on trial, %v may", seed, p.bad.share, p.exposed, p.reached, most)
+	if limit := p.bounds.Share*float64(p.reached) + p.bounds.Slack; float64(p.exposed) > limit {
+		t.Errorf("seed %d, share %v: %d of %d requests went to the target version on trial, want at most %v", seed, p.defect.share, p.exposed, p.reached, limit)
 	}
 	if p.lateExposed > 0 {
-		t.Errorf("seed %d: %d requests went to a bad version long after its 50th bad answer", seed, p.lateExposed)
+		t.Errorf("seed %d: %d requests went to a bad version long after its 50th bad response", seed, p.lateExposed)
 	}
-	if p.bad.share == 1 && phase != wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK {
-		t.Errorf("seed %d: a version that fails everything ended as %v", seed, phase)
+	if p.defect.share == 1 && phase != wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK {
+		t.Errorf("seed %d: the rollout of a version that fails everything ended as %v", seed, phase)
 	}
 	if p.overcounted > 0 {
-		t.Errorf("seed %d: %d requests were counted that never came", seed, p.overcounted)
+		t.Errorf("seed %d: %d requests were counted that never arrived", seed, p.overcounted)
 	}
-	if allowed := p.book.Get("s").GetAllowed(); p.exposed > allowed {
+	if allowed := p.store.Get("s").GetAllowed(); p.exposed > allowed {
 		t.Errorf("seed %d: %d requests were sent, %d are committed", seed, p.exposed, allowed)
 	}
 }
--- a/internal/rollout/sampler.go
+++ b/internal/rollout/sampler.go
@@ -11,61 +11,61 @@
 	"sumachead/api/wire"
 )
 
-// Sampler is a router's part of roll-outs. It is safe for concurrent use. Set the exported
-// fields before the first call.
+// Sampler is the part of rollouts that runs in a router. It is safe for concurrent use. Set the
+// exported fields before the first call.
 type Sampler struct {
 	Clock sumachead.Clock
 	Node  sumachead.NodeID
-	// Boot names this life of the router.
+	// Boot identifies this incarnation of the router.
 	Boot sumachead.BootID
 
 	mu       sync.Mutex // guards the fields below
 	revision uint64
-	// trials are by the service; those that have ended are not kept.
-	trials map[string]*trial
-	// open counts requests under way.
-	open map[versionOf]int64
+	// orders are the orders in progress, keyed by service.
+	orders map[string]*activeOrder
+	// open counts requests in flight.
+	open map[serviceVersion]int64
 }
 
-// versionOf names a version of a service.
-type versionOf struct{ service, version string }
+// serviceVersion identifies a version of a service.
+type serviceVersion struct{ service, version string }
 
-// answeredBy names what answers are counted by.
-type answeredBy struct{ route, server string }
+// outcomeKey is the key by which outcomes are counted.
+type outcomeKey struct{ route, server string }
 
-// trial is what a router knows of one order.
-type trial struct {
+// activeOrder is what a router knows of one order in progress.
+type activeOrder struct {
 	order    uint64
 	target   string
 	phase    wire.RolloutPhase
 	replaced []string
-	// deadline is the order's, by this host.
+	// deadline is the order's deadline by the clock of this host.
 	deadline sumachead.BootTime
-	// number is that of the newest report, and dueAt when the next one is due; asking while
-	// one is under way.
-	number uint64
-	dueAt  sumachead.BootTime
-	asking bool
+	// number is the number of the newest report, and dueAt when the next one is due; reportPending is
+	// set while a report has no reply.
+	number        uint64
+	dueAt         sumachead.BootTime
+	reportPending bool
 
 	reached, granted, lapsed int64
 	grants                   []grant
-	// scarce are routes whose requests go first, and withheld those of which none goes; resting
-	// are those of which the last request went to the target version.
+	// scarce are routes whose requests are sampled first, withheld those whose requests are never
+	// sampled, and skipNext those whose last request was sampled.
 	scarce, withheld []string
-	resting          map[string]bool
+	skipNext         map[string]bool
 	arrivals         map[string]int64
-	answers          map[answeredBy]*tally
-	ended            map[string]bool
+	outcomes         map[outcomeKey]*outcomes
+	crashed          map[string]bool
 }
 
-// grant allows requests to be sent to the target version until a time: those of scarce routes at
-// once, and others from a time on.
+// grant allows requests to be sent to the target version until expiresAt: those of scarce routes at
+// once, others from anyFrom on.
 type grant struct {
-	left           int64
-	anyFrom, until sumachead.BootTime
+	remaining          int64
+	anyFrom, expiresAt sumachead.BootTime
 }
 
-// Follow takes in all roll-outs. Nothing that is known goes back.
+// Update updates the sampler to a newer state of all rollouts; older states are ignored.
 func (s *Sampler) Follow(r *wire.Rollouts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,111 +73,112 @@
 		return
 	}
 	s.revision = r.GetRevision()
-	if s.trials == nil {
-		s.trials = make(map[string]*trial)
+	if s.orders == nil {
+		s.orders = make(map[string]*activeOrder)
 	}
 	for _, x := range r.GetRollouts() {
 		s.follow(x)
 	}
 }
 
-// follow takes in one roll-out. The caller holds mu.
+// follow updates one rollout. The caller holds mu.
 func (s *Sampler) follow(r *wire.Rollout) {
 	if Ended(r) {
-		delete(s.trials, r.GetService())
+		delete(s.orders, r.GetService())
 		return
 	}
-	t := s.trials[r.GetService()]
+	t := s.orders[r.GetService()]
 	if t == nil || t.order != r.GetOrder() {
 		age := time.Duration(r.GetAgeMillis()) * time.Millisecond
-		t = &trial{
-			order: r.GetOrder(), target: r.GetTarget(), deadline: s.Clock.Now().Add(lasts(r) - age),
-			resting: make(map[string]bool), arrivals: make(map[string]int64), answers: make(map[answeredBy]*tally), ended: make(map[string]bool),
+		t = &activeOrder{
+			order: r.GetOrder(), target: r.GetTarget(), deadline: s.Clock.Now().Add(orderDuration(r) - age),
+			skipNext: make(map[string]bool), arrivals: make(map[string]int64), outcomes: make(map[outcomeKey]*outcomes), crashed: make(map[string]bool),
 		}
-		s.trials[r.GetService()] = t
+		s.orders[r.GetService()] = t
 	}
 	t.phase, t.replaced = r.GetPhase(), r.GetReplaced()
-	t.dueAt = 0 // what has changed is to be told that it is known
+	t.dueAt = 0 // report that the change is known
 }
 
-// Revision returns that of the newest roll-outs that were taken in.
+// Revision returns the revision of the newest known state.
 func (s *Sampler) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Draw counts a request of a route that is about to be sent to a server, and reports whether
-// it is to go to one of the target version; nearly always there is no order, and it is not.
+// Draw counts a request that is about to be sent to a server, and reports whether it is sampled, that
+// is, should go to a server of the target version. Without an order in progress it never is.
 func (s *Sampler) Draw(service, route string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.trials[service]
+	t := s.orders[service]
 	if t == nil {
 		return false
 	}
 	t.arrivals[route]++
 	now := s.Clock.Now()
 	t.expire(now)
-	drawn := t.phase == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL && !t.resting[route] && !slices.Contains(t.withheld, route) && t.spend(route, now)
-	// Callers whose request was a sample and who try again here meet another version.
-	t.resting[route] = drawn
+	drawn := t.phase == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL && !t.skipNext[route] && !slices.Contains(t.withheld, route) && t.spendGrant(route, now)
+	// A caller whose sampled request failed and who retries here gets another version.
+	t.skipNext[route] = drawn
 	return drawn
 }
 
-// spend takes one of the grants for a request of a route, if there is one.
-func (t *trial) spend(route string, now sumachead.BootTime) bool {
+// spendGrant takes one request out of the grants, if one is available for the route.
+func (t *activeOrder) spendGrant(route string, now sumachead.BootTime) bool {
 	first := len(t.scarce) == 0 || slices.Contains(t.scarce, route)
 	for i := range t.grants {
-		if g := &t.grants[i]; g.left > 0 && (first || now >= g.anyFrom) {
-			g.left--
+		if g := &t.grants[i]; g.remaining > 0 && (first || now >= g.anyFrom) {
+			g.remaining--
 			return true
 		}
 	}
 	return false
 }
 
-// Undo gives back what Draw has taken for a request that was not sent to the target version.
+// ReturnGrant gives back the grant that Draw has spent for a request that was not sent to the target
+// version.
 func (s *Sampler) Undo(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.trials[service]; t != nil {
+	if t := s.orders[service]; t != nil {
 		t.lapsed++
 	}
 }
 
-// expire lets grants lapse whose time is over.
-func (t *trial) expire(now sumachead.BootTime) {
+// expire removes expired grants and counts their requests as lapsed.
+func (t *activeOrder) expire(now sumachead.BootTime) {
 	t.grants = slices.DeleteFunc(t.grants, func(g grant) bool {
-		over := now >= g.until
+		over := now >= g.expiresAt
 		if over {
-			t.lapsed += g.left
+			t.lapsed += g.remaining
 		}
-		return over || g.left == 0
+		return over || g.remaining == 0
 	})
 }
 
-// Overdue reports whether the deadline of a service's order has passed while this router knows
-// of no end: it may be cut off from all that could tell it.
+// Overdue reports whether the deadline of a service's order has passed without this router knowing
+// its result: the router may be partitioned.
 func (s *Sampler) Overdue(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.trials[service]
+	t := s.orders[service]
 	return t != nil && s.Clock.Now() >= t.deadline
 }
 
-// Begin counts a request that may now be sent to a server of a version, until end is called.
+// BeginRequest counts a request as in flight at a version until end is called.
 func (s *Sampler) Begin(service, version string) (end func()) {
-	v := versionOf{service, version}
-	s.count(v, 1)
-	return func() { s.count(v, -1) }
+	v := serviceVersion{service, version}
+	s.addOpen(v, 1)
+	return func() { s.addOpen(v, -1) }
 }
 
-func (s *Sampler) count(v versionOf, n int64) {
+func (s *Sampler) addOpen(v serviceVersion, n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.open == nil {
-		s.open = make(map[versionOf]int64)
+		s.open = make(map[serviceVersion]int64)
 	}
 	s.open[v] += n
 	if s.open[v] == 0 {
@@ -185,53 +186,54 @@
 	}
 }
 
-// Sample is what became of a request that reached a server.
+// Outcome is the outcome of a request that reached a server.
 type Sample struct {
 	Service, Route string
-	// Server and Version are the server's.
+	// Server and Version are the ID and the version of the server.
 	Server, Version string
-	// Counts: the server has answered, or should have.
+	// Counts: the server has responded, or should have.
 	Counts bool
-	// Failed: it answered with a failure of its own, or not as it should.
+	// Failed: it responded with an error of its own, or with an invalid response.
 	Failed bool
-	// Ended: the server has ended under it.
+	// Crashed: the server crashed while running the request.
 	Ended bool
-	// First is the time until the answer began, and Pace that between its events; 0 for none.
+	// FirstEvent is the time until the response began, and EventInterval the time between its events;
+	// 0 for none.
 	First, Pace time.Duration
 }
 
-// Note takes in what became of a request that reached a server.
+// Record records the outcome of a request that reached a server.
 func (s *Sampler) Note(x Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.trials[x.Service]
+	t := s.orders[x.Service]
 	if t == nil {
 		return
 	}
 	t.reached++
-	by := answeredBy{route: x.Route}
+	by := outcomeKey{route: x.Route}
 	if x.Version == t.target {
 		by.server = x.Server
 	}
 	switch {
 	case x.Ended && by.server != "":
-		t.ended[by.server] = true
+		t.crashed[by.server] = true
 	case x.Counts:
-		t.note(by, x)
+		t.record(by, x)
 	}
 	if x.Failed && by.server != "" {
-		t.dueAt = 0 // bad news are told at once
+		t.dueAt = 0 // report failures at once
 	}
 }
 
-// note counts an answer.
-func (t *trial) note(by answeredBy, x Sample) {
-	a := t.answers[by]
+// record counts a response.
+func (t *activeOrder) record(by outcomeKey, x Sample) {
+	a := t.outcomes[by]
 	if a == nil {
-		a = &tally{}
-		t.answers[by] = a
+		a = &outcomes{}
+		t.outcomes[by] = a
 	}
-	a.answers++
+	a.responses++
 	switch {
 	case x.Failed:
 		a.failed++
@@ -240,29 +242,29 @@
 		a.first.add(x.First)
 	}
 	if x.Pace > 0 {
-		a.pace.add(x.Pace)
+		a.intervals.add(x.Pace)
 	}
 }
 
-// Due returns the reports that are due; each is under way until Take is called for it.
+// DueReports returns the reports that are due; each is pending until HandleReply is called for it.
 func (s *Sampler) Due() []*wire.RolloutReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*wire.RolloutReport
 	now := s.Clock.Now()
-	for service, t := range s.trials {
-		if t.asking || now < t.dueAt {
+	for service, t := range s.orders {
+		if t.reportPending || now < t.dueAt {
 			continue
 		}
-		t.asking = true
+		t.reportPending = true
 		t.expire(now)
 		out = append(out, s.report(service, t))
 	}
 	return out
 }
 
-// report returns a report and begins to count arrivals anew. The caller holds mu.
-func (s *Sampler) report(service string, t *trial) *wire.RolloutReport {
+// report returns a report and resets the counts of arrivals. The caller holds mu.
+func (s *Sampler) report(service string, t *activeOrder) *wire.RolloutReport {
 	t.number++
 	r := &wire.RolloutReport{
 		Node: string(s.Node), Boot: string(s.Boot), Number: t.number, Service: service, Order: t.order, Revision: s.revision,
@@ -272,34 +274,34 @@
 		r.Arrivals = append(r.Arrivals, &wire.RolloutArrivals{Route: route, Requests: t.arrivals[route]})
 	}
 	clear(t.arrivals)
-	for by, a := range t.answers {
+	for by, a := range t.outcomes {
 		r.Answers = append(r.Answers, &wire.RolloutAnswers{
-			Route: by.route, Server: by.server, Answers: a.answers, Failed: a.failed, First: a.first.encode(), Pace: a.pace.encode(),
+			Route: by.route, Server: by.server, Answers: a.responses, Failed: a.failed, First: a.first.encode(), Pace: a.intervals.encode(),
 		})
 	}
-	for id := range t.ended {
+	for id := range t.crashed {
 		r.Answers = append(r.Answers, &wire.RolloutAnswers{Server: id, Ended: true})
 	}
 	slices.SortFunc(r.Answers, func(a, b *wire.RolloutAnswers) int {
 		return cmp.Or(cmp.Compare(a.GetRoute(), b.GetRoute()), cmp.Compare(a.GetServer(), b.GetServer()))
 	})
 	for _, v := range t.replaced {
-		r.OpenReplaced += s.open[versionOf{service, v}]
+		r.OpenReplaced += s.open[serviceVersion{service, v}]
 	}
 	return r
 }
 
-// Take takes in the answer to a report that was made at a time, nil for none. It must be that
-// of the newest report.
+// HandleReply processes the reply to the newest report, which was made at a time; nil if there was no
+// reply.
 func (s *Sampler) Take(r *wire.RolloutReport, g *wire.RolloutGrants, madeAt sumachead.BootTime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.trials[r.GetService()]
+	t := s.orders[r.GetService()]
 	if t == nil || t.order != r.GetOrder() {
 		return
 	}
-	t.asking = false
-	t.dueAt = madeAt.Add(max(time.Duration(g.GetAgainMillis())*time.Millisecond, reportEvery))
+	t.reportPending = false
+	t.dueAt = madeAt.Add(max(time.Duration(g.GetAgainMillis())*time.Millisecond, minReportInterval))
 	if g == nil {
 		return
 	}
@@ -311,9 +313,9 @@
 	}
 }
 
-// Going reports whether a service is rolled out.
+// InProgress reports whether a rollout of a service is in progress.
 func (s *Sampler) Going(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.trials[service] != nil
+	return s.orders[service] != nil
 }
--- a/internal/rollout/sampler_test.go
+++ b/internal/rollout/sampler_test.go
@@ -10,9 +10,9 @@
 	"sumachead/api/wire"
 )
 
-// newSampler returns a router's part of an order with a grant.
-func newSampler(g *wire.RolloutGrants) (*Sampler, *playedClock) {
-	c := &playedClock{now: 1}
+// newSampler returns a sampler with an order and a grant.
+func newSampler(g *wire.RolloutGrants) (*Sampler, *fakeClock) {
+	c := &fakeClock{now: 1}
 	s := &Sampler{Clock: c, Node: "r", Boot: "b"}
 	s.Follow(&wire.Rollouts{Revision: 1, Rollouts: []*wire.Rollout{{
 		Service: "s", Target: "v2", Revision: 1, Order: 1, DeadlineUnixMillis: time.Minute.Milliseconds(),
@@ -23,7 +23,7 @@
 	return s, c
 }
 
-// draw draws for requests of routes, and returns for which of them a sample was drawn.
+// draw calls Draw for requests of routes and returns which of them are sampled.
 func draw(s *Sampler, routes ...string) []bool {
 	var out []bool
 	for _, r := range routes {
@@ -42,25 +42,25 @@
 		want   []bool
 	}{
 		{"without grants", nil, 0, []string{"a"}, []bool{false}},
-		{"no more than granted", &wire.RolloutGrants{Requests: 1, ValidMillis: valid}, 0, []string{"a", "b"}, []bool{true, false}},
-		{"never two in a row of a route", &wire.RolloutGrants{Requests: 3, ValidMillis: valid}, 0, []string{"a", "a", "a"}, []bool{true, false, true}},
+		{"at most as many as granted", &wire.RolloutGrants{Requests: 1, ValidMillis: valid}, 0, []string{"a", "b"}, []bool{true, false}},
+		{"never two consecutive requests of a route", &wire.RolloutGrants{Requests: 3, ValidMillis: valid}, 0, []string{"a", "a", "a"}, []bool{true, false, true}},
 		{"scarce routes first", &wire.RolloutGrants{Requests: 2, ValidMillis: valid, Scarce: []string{"b"}}, 0, []string{"a", "b"}, []bool{false, true}},
-		{"others late", &wire.RolloutGrants{Requests: 2, ValidMillis: valid, Scarce: []string{"b"}}, 600 * time.Millisecond, []string{"a", "b"}, []bool{true, true}},
+		{"other routes later", &wire.RolloutGrants{Requests: 2, ValidMillis: valid, Scarce: []string{"b"}}, 600 * time.Millisecond, []string{"a", "b"}, []bool{true, true}},
 		{"withheld routes never", &wire.RolloutGrants{Requests: 2, ValidMillis: valid, Withheld: []string{"a"}}, 600 * time.Millisecond, []string{"a"}, []bool{false}},
-		{"not when the grant has ended", &wire.RolloutGrants{Requests: 2, ValidMillis: valid}, time.Second, []string{"a"}, []bool{false}},
+		{"not after the grant has expired", &wire.RolloutGrants{Requests: 2, ValidMillis: valid}, time.Second, []string{"a"}, []bool{false}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s, c := newSampler(tt.grants)
 			c.now = c.now.Add(tt.after)
 			if diff := cmp.Diff(tt.want, draw(s, tt.routes...)); diff != "" {
-				t.Errorf("drawn otherwise (-want +got):\n%s", diff)
+				t.Errorf("sampled requests (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func TestAReportTellsTotals(t *testing.T) {
+func TestReportHasTotals(t *testing.T) {
 	s, c := newSampler(&wire.RolloutGrants{Requests: 4, ValidMillis: 1000})
 	end := s.Begin("s", "v1")
 	draw(s, "a", "a")
@@ -83,22 +83,22 @@
 		},
 	}}
 	if diff := cmp.Diff(want, s.Due(), protocmp.Transform()); diff != "" {
-		t.Errorf("reported otherwise (-want +got):\n%s", diff)
+		t.Errorf("reports (-want +got):\n%s", diff)
 	}
 	end()
 	if got := s.Due(); got != nil {
-		t.Errorf("a second report is made while one is under way: %v", got)
+		t.Errorf("a second report is due while one is pending: %v", got)
 	}
 }
 
-// What is known never goes back, also where an older word comes late.
-func TestAnEndedOrderIsOver(t *testing.T) {
+// A late message with an older state must not restart an order that has ended.
+func TestEndedOrderIsNotRestarted(t *testing.T) {
 	s, _ := newSampler(&wire.RolloutGrants{Requests: 4, ValidMillis: 1000})
 	s.Follow(&wire.Rollouts{Revision: 2, Rollouts: []*wire.Rollout{{
 		Service: "s", Target: "v2", Revision: 2, Order: 1, Phase: wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 	}}})
 	s.Follow(&wire.Rollouts{Revision: 1, Rollouts: []*wire.Rollout{{Service: "s", Target: "v2", Revision: 1, Order: 1}}})
 	if s.Going("s") || s.Draw("s", "a") {
-		t.Error("a sample is drawn after the end")
+		t.Error("a request is sampled after the order has ended")
 	}
 }
--- a/internal/rollout/verdicts_test.go
+++ b/internal/rollout/verdicts_test.go
@@ -10,81 +10,81 @@
 	"sumachead/api/wire"
 )
 
-// verdictCase is a version that is rolled out.
+// verdictCase is a simulated rollout of one version.
 type verdictCase struct {
-	name    string
-	routes  []playedRoute
-	servers int
-	lasts   time.Duration
-	bad     badness
-	trouble trouble
-	// wrong is how many of a thousand plays may end wrongly: a bad version complete, or a good one
-	// rolled back; below 0 where that is not promised.
-	wrong int
+	name     string
+	routes   []simulatedRoute
+	servers  int
+	duration time.Duration
+	defect   defect
+	faults   faults
+	// maxWrong is how many of a thousand simulations may end with a wrong result: a bad version
+	// complete, or a good one rolled back; below 0 for no limit.
+	maxWrong int
 }
 
-// verdictCases are the ways to be bad, and good versions beside trouble. Promised is what the
-// bounds are stated for: shares of a tenth and more, where there are requests enough.
+// verdictCases are versions with defects, and good versions with faults around them. Only the cases
+// that the guarantees cover have limits: shares of a tenth and more, with enough requests.
 var verdictCases = []verdictCase{
-	{"good engines", playedEngines, 45, 12 * time.Second, badness{}, trouble{}, 1},
-	{"good engines, a server fails half", playedEngines, 45, 12 * time.Second, badness{}, trouble{grey: 1}, 1},
-	{"good engines, lost messages, cuts, kills, leaders", playedEngines, 45, 12 * time.Second, badness{}, trouble{lost: 0.2, cut: true, killed: true, leaders: true}, -1},
-	{"good desk", playedDesk, 3, 12 * time.Second, badness{}, trouble{}, -1},
-	{"good desk, a minute", playedDesk, 3, time.Minute, badness{}, trouble{}, 1},
-	{"good, one route thin", playedThin, 10, 12 * time.Second, badness{}, trouble{}, -1},
-	{"good, one route thin, a minute", playedThin, 10, time.Minute, badness{}, trouble{}, -1},
-	{"half fail", playedEngines, 45, 12 * time.Second, badness{share: 0.5}, trouble{}, 0},
-	{"a tenth fail", playedEngines, 45, 12 * time.Second, badness{share: 0.1}, trouble{}, 0},
-	{"one in fifty fail", playedEngines, 45, 12 * time.Second, badness{share: 0.02}, trouble{}, -1},
-	{"half slow", playedEngines, 45, 12 * time.Second, badness{share: 0.5, slower: 4}, trouble{}, 0},
-	{"a tenth slow", playedEngines, 45, 12 * time.Second, badness{share: 0.1, slower: 4}, trouble{}, -1},
-	{"all slow", playedEngines, 45, 12 * time.Second, badness{share: 1, slower: 4}, trouble{}, 0},
-	{"half fail from second 4 on", playedEngines, 45, 12 * time.Second, badness{share: 0.5, after: 4 * time.Second}, trouble{}, 0},
-	{"a tenth fail from second 4 on", playedEngines, 45, 12 * time.Second, badness{share: 0.1, after: 4 * time.Second}, trouble{}, -1},
-	{"half fail under load", playedEngines, 45, 12 * time.Second, badness{share: 0.5, loaded: true}, trouble{}, -1},
-	{"half fail on one route", playedEngines, 45, 12 * time.Second, badness{share: 0.5, route: "summary"}, trouble{}, 0},
-	{"a tenth fail on one route", playedEngines, 45, 12 * time.Second, badness{share: 0.1, route: "summary"}, trouble{}, -1},
-	{"desk: half fail", playedDesk, 3, 12 * time.Second, badness{share: 0.5}, trouble{}, 0},
-	{"desk: half fail under load", playedDesk, 3, 12 * time.Second, badness{share: 0.5, loaded: true}, trouble{}, -1},
-	{"desk: a tenth fail", playedDesk, 3, 12 * time.Second, badness{share: 0.1}, trouble{}, -1},
-	{"desk: a tenth fail, a minute", playedDesk, 3, time.Minute, badness{share: 0.1}, trouble{}, 0},
-	{"desk: half of what runs once fails", playedDesk, 3, 12 * time.Second, badness{share: 0.5, route: "order"}, trouble{}, 0},
-	{"thin: half of the rare route fails", playedThin, 10, 12 * time.Second, badness{share: 0.5, route: "rare"}, trouble{}, -1},
-	{"thin: half of the rare route fails, a minute", playedThin, 10, time.Minute, badness{share: 0.5, route: "rare"}, trouble{}, -1},
-	{"half fail, lost messages, cuts, kills, leaders", playedEngines, 45, 12 * time.Second, badness{share: 0.5}, trouble{lost: 0.2, cut: true, killed: true, leaders: true}, 0},
+	{"good engines", engineRoutes, 45, 12 * time.Second, defect{}, faults{}, 1},
+	{"good engines, one server fails half", engineRoutes, 45, 12 * time.Second, defect{}, faults{flakyServers: 1}, 1},
+	{"good engines, lost messages, partitions, restarts, leader changes", engineRoutes, 45, 12 * time.Second, defect{}, faults{lost: 0.2, partitions: true, restarts: true, leaderChanges: true}, -1},
+	{"good application", appRoutes, 3, 12 * time.Second, defect{}, faults{}, -1},
+	{"good application, one minute", appRoutes, 3, time.Minute, defect{}, faults{}, 1},
+	{"good, one rare route", rareRoutes, 10, 12 * time.Second, defect{}, faults{}, -1},
+	{"good, one rare route, one minute", rareRoutes, 10, time.Minute, defect{}, faults{}, -1},
+	{"half fails", engineRoutes, 45, 12 * time.Second, defect{share: 0.5}, faults{}, 0},
+	{"a tenth fails", engineRoutes, 45, 12 * time.Second, defect{share: 0.1}, faults{}, 0},
+	{"one in fifty fails", engineRoutes, 45, 12 * time.Second, defect{share: 0.02}, faults{}, -1},
+	{"half is slow", engineRoutes, 45, 12 * time.Second, defect{share: 0.5, slowdown: 4}, faults{}, 0},
+	{"a tenth is slow", engineRoutes, 45, 12 * time.Second, defect{share: 0.1, slowdown: 4}, faults{}, -1},
+	{"all are slow", engineRoutes, 45, 12 * time.Second, defect{share: 1, slowdown: 4}, faults{}, 0},
+	{"half fails from second 4 on", engineRoutes, 45, 12 * time.Second, defect{share: 0.5, after: 4 * time.Second}, faults{}, 0},
+	{"a tenth fails from second 4 on", engineRoutes, 45, 12 * time.Second, defect{share: 0.1, after: 4 * time.Second}, faults{}, -1},
+	{"half fails under load", engineRoutes, 45, 12 * time.Second, defect{share: 0.5, underLoad: true}, faults{}, -1},
+	{"half fails on one route", engineRoutes, 45, 12 * time.Second, defect{share: 0.5, route: "summary"}, faults{}, 0},
+	{"a tenth fails on one route", engineRoutes, 45, 12 * time.Second, defect{share: 0.1, route: "summary"}, faults{}, -1},
+	{"application: half fails", appRoutes, 3, 12 * time.Second, defect{share: 0.5}, faults{}, 0},
+	{"application: half fails under load", appRoutes, 3, 12 * time.Second, defect{share: 0.5, underLoad: true}, faults{}, -1},
+	{"application: a tenth fails", appRoutes, 3, 12 * time.Second, defect{share: 0.1}, faults{}, -1},
+	{"application: a tenth fails, one minute", appRoutes, 3, time.Minute, defect{share: 0.1}, faults{}, 0},
+	{"application: half of the non-idempotent requests fails", appRoutes, 3, 12 * time.Second, defect{share: 0.5, route: "order"}, faults{}, 0},
+	{"rare route: half fails", rareRoutes, 10, 12 * time.Second, defect{share: 0.5, route: "rare"}, faults{}, -1},
+	{"rare route: half fails, one minute", rareRoutes, 10, time.Minute, defect{share: 0.5, route: "rare"}, faults{}, -1},
+	{"half fails, lost messages, partitions, restarts, leader changes", engineRoutes, 45, 12 * time.Second, defect{share: 0.5}, faults{lost: 0.2, partitions: true, restarts: true, leaderChanges: true}, 0},
 }
 
-// TestVerdicts plays each case some times; PLAYS=1000 as often as the bounds are stated for, and
-// then it prints the table.
+// TestVerdicts simulates each case a few times, with different seeds, and logs a row for each. Set
+// PLAYS=1000 to test the limits exactly.
 func TestVerdicts(t *testing.T) {
-	plays := 6
+	runs := 6
 	if n, err := strconv.Atoi(os.Getenv("PLAYS")); err == nil && n > 0 {
-		plays = n
+		runs = n
 	}
 	for _, c := range verdictCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := c.play(plays)
+			r := c.simulate(runs)
 			t.Logf("%s: %s", c.name, r)
-			if most := c.wrong * plays / 1000; c.wrong >= 0 && r.wrong > most {
-				t.Errorf("%d of %d plays ended wrongly, %d may", r.wrong, plays, most)
+			if limit := c.maxWrong * runs / 1000; c.maxWrong >= 0 && r.wrong > limit {
+				t.Errorf("%d of %d simulations ended with a wrong result, want at most %d", r.wrong, runs, limit)
 			}
 		})
 	}
 }
 
-// verdictResult is how plays of a case ended.
+// verdictResult summarizes the simulations of a case.
 type verdictResult struct {
 	wrong   int
 	exposed float64
 	took    time.Duration
-	// why counts reasons of wrong ends.
+	// why counts the reasons of wrong results.
 	why map[string]int
 }
 
-// String is a row of the table.
+// String formats a row of the table.
 func (r *verdictResult) String() string {
-	s := fmt.Sprintf("wrong %d, exposed %.1f%%, ended after %.1f s", r.wrong, r.exposed, r.took.Seconds())
+	s := fmt.Sprintf("%d wrong, %.1f%% exposed, ended after %.1f s", r.wrong, r.exposed, r.took.Seconds())
 	for why, n := range r.why {
 		s += fmt.Sprintf("; %d: %s", n, why)
 		break
@@ -92,20 +92,20 @@
 	return s
 }
 
-// play plays a case with many seeds.
-func (c *verdictCase) play(plays int) *verdictResult {
+// simulate runs a case with many seeds.
+func (c *verdictCase) simulate(runs int) *verdictResult {
 	r := &verdictResult{why: make(map[string]int)}
-	good := c.bad.share == 0
-	for seed := range uint64(plays) {
-		p := newPlay(seed, 23, c.servers, c.lasts, c.routes)
-		p.bad, p.trouble = c.bad, c.trouble
+	good := c.defect.share == 0
+	for seed := range uint64(runs) {
+		p := newSimulation(seed, 23, c.servers, c.duration, c.routes)
+		p.defect, p.faults = c.defect, c.faults
 		phase := p.run()
 		if (phase == wire.RolloutPhase_ROLLOUT_PHASE_COMPLETE) != good {
 			r.wrong++
-			r.why[p.book.Get("s").GetReason()]++
+			r.why[p.store.Get("s").GetReason()]++
 		}
-		r.exposed += 100 * float64(p.exposed) / float64(p.reached) / float64(plays)
-		r.took += p.endedAfter / time.Duration(plays)
+		r.exposed += 100 * float64(p.exposed) / float64(p.reached) / float64(runs)
+		r.took += p.endedAfter / time.Duration(runs)
 	}
 	return r
 }
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -11,100 +11,102 @@
 )
 
 const (
-	// reportEvery is how often a router reports, and reportEach is added to that for each
-	// router, so that the leader's work does not grow with their number.
-	reportEvery = 200 * time.Millisecond
-	reportEach  = 1500 * time.Microsecond
-	// moveMost is the most of the time of an order, one part in so many, that is kept for the
-	// move: requests that run at the old servers have to come to their end within it.
-	moveMost = 3
-	// moveMargin is how long before the deadline the move ends, whatever still runs: for a
-	// commit, and a leader lost meanwhile.
+	// minReportInterval is the interval at which a router reports. reportIntervalPerRouter is added for
+	// each router, so that the load of the leader does not grow with their number.
+	minReportInterval       = 200 * time.Millisecond
+	reportIntervalPerRouter = 1500 * time.Microsecond
+	// maxMoveDivisor bounds the part of an order's time, one in so many, that is reserved for the
+	// move: requests in flight at the old servers have to finish within it.
+	maxMoveDivisor = 3
+	// moveMargin is how long before the deadline the move ends, whatever is still in flight. It leaves
+	// time for a commit and for a change of the leader.
 	moveMargin = 1200 * time.Millisecond
-	// singleFrom is the part of the trial after which requests that may run only once go to
-	// the target version as well: a caller loses one that it fails.
-	singleFrom = 0.5
-	// scarcePart is the part, one in so many, of what is known of the best known route that has
-	// to be known of others.
-	scarcePart = 2
-	// doubtful is how likely a bad version may be before they do not.
-	doubtful = 3
+	// nonIdempotentFrom is the fraction of the trial after which non-idempotent requests go to the
+	// target version as well: those that it fails can't be retried.
+	nonIdempotentFrom = 0.5
+	// scarceDivisor defines scarce routes: those with fewer canary responses than one in so many of
+	// the route with the most.
+	scarceDivisor = 2
+	// doubtRatio is the likelihood ratio for a bad version above which non-idempotent requests are
+	// withheld from it.
+	doubtRatio = 3
 )
 
-// Watch is what the leading keeper knows of one order. It is not safe for concurrent use.
+// Controller holds what the leading keeper knows of one order and decides its next step. It is not
+// safe for concurrent use.
 type Watch struct {
 	Service string
 	Order   uint64
-	// Ordered and Deadline are the order's times, by this host.
+	// OrderedAt and Deadline are the times of the order by the clock of this host.
 	Ordered, Deadline sumachead.BootTime
-	// Longest is how long a request of the service may take.
+	// MaxRequestTime is how long a request of the service may take.
 	Longest time.Duration
 	Bounds  Bounds
 
 	Exposure *Exposure
-	evidence Evidence
-	// seen are the routes of which requests came.
-	seen map[string]bool
-	// known is how many answers of the target version are known, by route, and doubt whether a
-	// bad version is likelier than not; both as at the last call of Next.
-	known map[string]int64
-	doubt bool
-	// moved are the routers that have told that they know of the move, and what then still
-	// runs at the versions that are replaced.
-	moved map[life]int64
+	results  Results
+	// routes are the routes that have had requests.
+	routes map[string]bool
+	// canaryResponses is the number of responses of the target version by route, and doubt is set if
+	// the evidence against it exceeds doubtRatio; both are as of the last call of NextStep.
+	canaryResponses map[string]int64
+	doubt           bool
+	// moved are the routers that have reported that they know of the move, with the number of their
+	// requests that are still in flight at the replaced versions.
+	moved map[incarnation]int64
 }
 
-// DecideBy returns when the trial ends. The rest is for the move: the whole time of an order is
-// used, since some versions turn bad only after a time.
+// TrialDeadline returns when the trial ends. It leaves only the time for the move, since some
+// versions fail only after a while.
 func (w *Watch) DecideBy() sumachead.BootTime {
-	move := min(w.Deadline.Sub(w.Ordered)/moveMost, w.Longest+moveMargin)
+	move := min(w.Deadline.Sub(w.Ordered)/maxMoveDivisor, w.Longest+moveMargin)
 	return w.Deadline.Add(-move)
 }
 
-// Passed returns which part of the trial has passed.
+// TrialProgress returns the fraction of the trial that has passed.
 func (w *Watch) Passed(now sumachead.BootTime) float64 {
 	return float64(now.Sub(w.Ordered)) / float64(max(w.DecideBy().Sub(w.Ordered), 1))
 }
 
-// Take takes in a report; the report must not be changed any more. Where it is a copy of its
-// router's last one it returns the answer to that; stale is set for an older one.
-func (w *Watch) Take(r *wire.RolloutReport, moving *wire.Rollout) (answered *wire.RolloutGrants, stale bool) {
-	if answered, stale = w.Exposure.Take(r); answered != nil || stale {
-		return answered, stale
+// HandleReport processes a report, which must not be modified afterwards. If it is a duplicate of its
+// router's last one, it returns the reply to that; stale is set for an older one.
+func (w *Watch) Take(r *wire.RolloutReport, moving *wire.Rollout) (reply *wire.RolloutGrants, stale bool) {
+	if reply, stale = w.Exposure.HandleReport(r); reply != nil || stale {
+		return reply, stale
 	}
-	w.evidence.Take(r)
+	w.results.Add(r)
 	for id := range w.moved {
 		if id.node == r.GetNode() {
-			delete(w.moved, id) // also what an earlier life told, which has ended
+			delete(w.moved, id) // also the reports of earlier incarnations
 		}
 	}
 	if moving.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_MOVING && r.GetRevision() >= moving.GetRevision() {
 		if w.moved == nil {
-			w.moved = make(map[life]int64)
+			w.moved = make(map[incarnation]int64)
 		}
-		w.moved[life{r.GetNode(), r.GetBoot()}] = r.GetOpenReplaced()
+		w.moved[incarnation{r.GetNode(), r.GetBoot()}] = r.GetOpenReplaced()
 	}
 	return nil, false
 }
 
-// Answer answers a report with grants out of the room that there is.
-func (w *Watch) Answer(r *wire.RolloutReport, once func(route string) bool, routers int, now sumachead.BootTime) *wire.RolloutGrants {
+// GrantRequests returns the reply to a report, with grants out of the available requests.
+func (w *Watch) Answer(r *wire.RolloutReport, notIdempotent func(route string) bool, routers int, now sumachead.BootTime) *wire.RolloutGrants {
 	var arrivals int64
 	for _, a := range r.GetArrivals() {
-		if w.seen == nil {
-			w.seen = make(map[string]bool)
+		if w.routes == nil {
+			w.routes = make(map[string]bool)
 		}
-		w.seen[a.GetRoute()] = true
+		w.routes[a.GetRoute()] = true
 		arrivals += a.GetRequests()
 	}
 	g := &wire.RolloutGrants{
-		Requests: Fair(w.Exposure.Room(), arrivals), ValidMillis: validFor.Milliseconds(),
-		AgainMillis: (reportEvery + time.Duration(routers)*reportEach).Milliseconds(),
+		Requests: FairShare(w.Exposure.Available(), arrivals), ValidMillis: grantTTL.Milliseconds(),
+		AgainMillis: (minReportInterval + time.Duration(routers)*reportIntervalPerRouter).Milliseconds(),
 	}
-	early := w.Passed(now) < singleFrom || w.doubt
-	for _, route := range slices.Sorted(maps.Keys(w.seen)) {
+	early := w.Passed(now) < nonIdempotentFrom || w.doubt
+	for _, route := range slices.Sorted(maps.Keys(w.routes)) {
 		switch {
-		case early && once(route):
+		case early && notIdempotent(route):
 			g.Withheld = append(g.Withheld, route)
 		case w.isScarce(route):
 			g.Scarce = append(g.Scarce, route)
@@ -114,62 +116,62 @@
 	return g
 }
 
-// isScarce reports whether much less is known of a route than of the one that is known best.
+// isScarce reports whether a route has far fewer canary responses than the route with the most.
 func (w *Watch) isScarce(route string) bool {
-	var most int64
-	for _, n := range w.known {
-		most = max(most, n)
+	var highest int64
+	for _, n := range w.canaryResponses {
+		highest = max(highest, n)
 	}
-	return w.known[route]*scarcePart < most
+	return w.canaryResponses[route]*scarceDivisor < highest
 }
 
-// look adds up what is known, and notes what answers to reports go by.
-func (w *Watch) look() *sums {
-	w.known = make(map[string]int64)
-	s := w.evidence.sum()
-	all := newComparison("", s.ended)
+// summarize returns the totals of the results and updates the state on which grants depend.
+func (w *Watch) summarize() *totals {
+	w.canaryResponses = make(map[string]int64)
+	s := w.results.sum()
+	all := newComparison("", s.crashed)
 	for _, r := range s.routes {
-		w.known[r.name] = r.sampled()
-		all.compare(r)
+		w.canaryResponses[r.name] = r.canaryResponses()
+		all.addRoute(r)
 	}
-	w.doubt = all.against() > math.Log(doubtful)
+	w.doubt = all.logRatioWithoutWorst() > math.Log(doubtRatio)
 	return s
 }
 
-// Fleet is what the leading keeper knows of a service's servers and of the routers.
+// ServiceState is what the leading keeper knows of a service's servers and of the routers.
 type Fleet struct {
-	// Target and Others are the slots of servers that are ready, of the target version and of
-	// all others.
+	// TargetSlots and OtherSlots are the slots of the ready servers of the target version and of all
+	// other versions.
 	Target, Others uint32
-	// Replaced are the other versions.
+	// ReplacedVersions are the other versions.
 	Replaced []string
-	// Routers are the nodes of the routers that follow.
+	// Routers are the node names of the routers that follow the leader.
 	Routers []string
-	// Known: all servers have had the time to tell of themselves.
+	// Complete: all servers have had enough time to report to the leader.
 	Known bool
 }
 
-// enoughSlots is the part of the others' slots that the target version has to have.
-const enoughSlots = 0.5
+// minSlotFactor is the minimum ratio of the target version's slots to those of the other versions.
+const minSlotFactor = 0.5
 
-// Next returns the next step of a roll-out, nil while there is none. It is to be called some
+// NextStep returns the next step of a rollout, or nil if there is none yet. It should be called a few
 // times a second.
 func (w *Watch) Next(r *wire.Rollout, f *Fleet, now sumachead.BootTime) *wire.RolloutStep {
-	s := w.look()
+	s := w.summarize()
 	switch r.GetPhase() {
 	case wire.RolloutPhase_ROLLOUT_PHASE_TRIAL:
-		return w.afterTrial(s, f, now)
+		return w.nextInTrial(s, f, now)
 	case wire.RolloutPhase_ROLLOUT_PHASE_MOVING:
-		return w.afterMove(s, f, now)
+		return w.nextInMove(s, f, now)
 	}
 	return nil
 }
 
-// afterTrial ends the trial: at once for a version that is found bad or takes the place of none,
-// and when its time is over for one that is not.
-func (w *Watch) afterTrial(s *sums, f *Fleet, now sumachead.BootTime) *wire.RolloutStep {
+// nextInTrial ends the trial: at once if the version is bad or if no other version has servers left,
+// otherwise when the time for the trial is over.
+func (w *Watch) nextInTrial(s *totals, f *Fleet, now sumachead.BootTime) *wire.RolloutStep {
 	over := now >= w.DecideBy()
-	v, why := judge(s, over)
+	v, why := evaluate(s, over)
 	switch {
 	case v == VerdictBad:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, why)
@@ -179,7 +181,7 @@
 		return nil
 	case now >= w.Deadline:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, "the deadline has passed in the trial")
-	case float64(f.Target) < enoughSlots*float64(f.Others) || f.Target == 0:
+	case float64(f.Target) < minSlotFactor*float64(f.Others) || f.Target == 0:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, "too few servers of the target version are there")
 	case v == VerdictGood:
 		return w.move(f, why)
@@ -187,11 +189,11 @@
 	return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, why)
 }
 
-// afterMove ends the move: once nothing runs at the other versions any more, as all routers tell,
-// or when there is no more time. A version that turns bad under all requests goes back as long
-// as the others are there.
-func (w *Watch) afterMove(s *sums, f *Fleet, now sumachead.BootTime) *wire.RolloutStep {
-	v, why := judge(s, false)
+// nextInMove ends the move: once no router has requests in flight at the other versions, or when the
+// time is over. A version that turns out bad under the full load is rolled back as long as other
+// versions have servers.
+func (w *Watch) nextInMove(s *totals, f *Fleet, now sumachead.BootTime) *wire.RolloutStep {
+	v, why := evaluate(s, false)
 	switch {
 	case v == VerdictBad && f.Others > 0:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, "in the move: "+why)
@@ -205,7 +207,7 @@
 	return nil
 }
 
-// allMoved reports whether all routers have left the versions that are replaced.
+// allMoved reports whether no router has requests in flight at the replaced versions.
 func (w *Watch) allMoved(routers []string) bool {
 	left := make(map[string]bool)
 	for id, open := range w.moved {
