--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -1,9 +1,9 @@
-// Package ratelimit keeps the request limits that backend servers name in their answers, and
-// bounds what all routers together send to such a server.
+// Package ratelimit tracks the request limits that backend servers specify in their responses, and
+// bounds the requests that all routers together send to such a server.
 //
-// A limit holds for the sum over all routers. A [Table] holds what one process knows of the
-// limits; the newest observation wins, whoever made it, so that processes agree once they have
-// exchanged theirs.
+// A limit applies to the sum over all routers. A [Table] holds the limits that one process knows. The
+// newest observation wins, whichever process made it, so that processes agree once they have
+// exchanged their observations.
 package ratelimit
 
 import (
@@ -13,33 +13,33 @@
 	"sumachead"
 )
 
-// minAbsence is how long a server must have named no limit before its limit ends: it may name
-// it in some of its answers only.
+// minAbsence is how long a server must have specified no limit before its limit ends, since it may
+// specify it in only some of its responses.
 const minAbsence = time.Second
 
-// Observation is the request limit of one incarnation of a server as of a time.
+// Observation is the request limit of one incarnation of a server at a time.
 type Observation struct {
-	// Rate is 0 for no limit.
+	// Rate is the limit, 0 for none.
 	Rate sumachead.RequestRate
-	// At is when it was known to hold.
+	// At is when the limit was observed.
 	At sumachead.BootTime
 }
 
 // Table holds the newest observation for each incarnation of a server. It is safe for concurrent
-// use. The zero value is ready.
+// use; the zero value is ready to use.
 type Table struct {
 	mu sync.Mutex // guards limits
-	// limits has no entry for servers that are not known to have named a limit.
+	// limits has no entry for servers that are not known to have specified a limit.
 	limits map[sumachead.ServerID]Observation
 }
 
-// Set records that an answer received at a time named a limit. It reports whether the rate
-// differs from the one known.
+// Set records that a response received at a time specified a limit. It reports whether the rate has
+// changed.
 func (t *Table) Set(id sumachead.ServerID, r sumachead.RequestRate, at sumachead.BootTime) (changed bool) {
 	return t.Merge(id, Observation{r, at})
 }
 
-// Clear records that an answer to a request sent at a time named no limit. It reports whether
+// Clear records that a response to a request sent at a time specified no limit. It reports whether
 // that ended a limit.
 func (t *Table) Clear(id sumachead.ServerID, sentAt sumachead.BootTime) (ended bool) {
 	o := t.Get(id)
@@ -49,8 +49,8 @@
 	return t.Merge(id, Observation{At: sentAt})
 }
 
-// Merge records an observation of this or another process if it is newer than the one known. It
-// reports whether the rate changed.
+// Merge records an observation of this or another process if it is newer than the known one. It
+// reports whether the rate has changed.
 func (t *Table) Merge(id sumachead.ServerID, o Observation) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,14 +65,14 @@
 	return o.Rate != known.Rate
 }
 
-// Get returns what is known of a server; the zero value for one that has named no limit.
+// Get returns the newest observation for a server, or the zero value if it has specified no limit.
 func (t *Table) Get(id sumachead.ServerID) Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.limits[id]
 }
 
-// Count returns how many servers are limited.
+// Count returns the number of servers with a limit.
 func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,14 +85,14 @@
 	return n
 }
 
-// Len returns how many servers something is known of.
+// Len returns the number of servers with an observation, including those whose limit has ended.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.limits)
 }
 
-// Expire drops the servers that gone reports as gone; it must not call the table.
+// Expire removes the servers for which gone returns true; gone must not call the table.
 func (t *Table) Expire(gone func(sumachead.ServerID, Observation) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -10,35 +10,35 @@
 	"sumachead"
 )
 
-// second returns a time of tests.
+// second returns the time s seconds after boot.
 func second(s float64) sumachead.BootTime {
 	return sumachead.BootTime(s * float64(time.Second))
 }
 
 func TestTable(t *testing.T) {
-	type answer struct {
+	type response struct {
 		sent, received float64
 		limit          sumachead.RequestRate
 	}
 	tests := []struct {
-		name    string
-		answers []answer
-		want    sumachead.RequestRate
+		name      string
+		responses []response
+		want      sumachead.RequestRate
 	}{
-		{"none named", []answer{{0, 1, 0}}, 0},
-		{"named", []answer{{0, 1, 2.5}}, 2.5},
-		{"lowered", []answer{{0, 1, 2.5}, {1, 2, 1}}, 1},
-		{"raised", []answer{{0, 1, 2.5}, {1, 2, 5}}, 5},
-		{"not named once, soon after", []answer{{0, 1, 2.5}, {1.5, 2, 0}}, 2.5},
-		{"named in every other answer", []answer{{0, 1, 2.5}, {1.5, 2, 0}, {2, 2.5, 2.5}, {3, 3.4, 0}}, 2.5},
-		{"no longer named", []answer{{0, 1, 2.5}, {2, 2.5, 0}}, 0},
-		{"the answer to an earlier request does not end it", []answer{{0, 1, 2.5}, {0.5, 9, 0}}, 2.5},
-		{"named again", []answer{{0, 1, 2.5}, {2, 2.5, 0}, {3, 4, 7}}, 7},
+		{"no limit specified", []response{{0, 1, 0}}, 0},
+		{"named", []response{{0, 1, 2.5}}, 2.5},
+		{"lowered", []response{{0, 1, 2.5}, {1, 2, 1}}, 1},
+		{"raised", []response{{0, 1, 2.5}, {1, 2, 5}}, 5},
+		{"not specified once, soon after", []response{{0, 1, 2.5}, {1.5, 2, 0}}, 2.5},
+		{"specified in every other response", []response{{0, 1, 2.5}, {1.5, 2, 0}, {2, 2.5, 2.5}, {3, 3.4, 0}}, 2.5},
+		{"no longer specified", []response{{0, 1, 2.5}, {2, 2.5, 0}}, 0},
+		{"the response to an earlier request does not end the limit", []response{{0, 1, 2.5}, {0.5, 9, 0}}, 2.5},
+		{"specified again", []response{{0, 1, 2.5}, {2, 2.5, 0}, {3, 4, 7}}, 7},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var table Table
-			for _, a := range tt.answers {
+			for _, a := range tt.responses {
 				if a.limit > 0 {
 					table.Set("a", a.limit, second(a.received))
 				} else {
@@ -56,17 +56,17 @@
 				t.Errorf("%d limited servers, want %d", n, want)
 			}
 			if r := table.Get("b").Rate; r != 0 {
-				t.Errorf("another server is limited to %v", r)
+				t.Errorf("another server has a limit of %v", r)
 			}
 			table.Expire(func(id sumachead.ServerID, _ Observation) bool { return id == "a" })
 			if r := table.Get("a").Rate; r != 0 {
-				t.Errorf("a server that is gone is limited to %v", r)
+				t.Errorf("an expired server has a limit of %v", r)
 			}
 		})
 	}
 }
 
-// Tables that exchange observations agree, in whichever order these come.
+// Tables that exchange observations agree, in whichever order the observations arrive.
 func TestTablesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var seen []Observation
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -17,46 +17,46 @@
 )
 
 const (
-	// window is the time in which requests to a server are counted, of which windowFactor
-	// times the limit and windowSlack more may come.
-	window       = 4 * time.Second
-	windowFactor = 1.1
-	windowSlack  = 2
-	// waits is for how long a request waits for a permit.
-	waits = 800 * time.Millisecond
-	// asked is the time to a permit's process and back.
-	asked = 3 * time.Millisecond
+	// window is the time in which requests to a server are counted. At most maxRateFactor times the
+	// limit and slack more may arrive in it.
+	window        = 4 * time.Second
+	maxRateFactor = 1.1
+	slack         = 2
+	// maxWait is how long a request waits for a permit.
+	maxWait = 800 * time.Millisecond
+	// roundTripTime is the time to the process that grants permits and back.
+	roundTripTime = 3 * time.Millisecond
 )
 
-// load is requests for one limited server, by when and at which router they come.
-type load struct {
-	routers int
-	limit   sumachead.RequestRate
-	lasts   time.Duration
-	// demand is how many times the limit is asked for.
-	demand float64
-	// hot is the part of requests that come to the first router.
-	hot float64
-	// restarts is how often the process that grants permits starts again.
+// workload describes the requests for one server with a limit.
+type workload struct {
+	routers  int
+	limit    sumachead.RequestRate
+	duration time.Duration
+	// demandFactor is the ratio of the request rate to the limit.
+	demandFactor float64
+	// skew is the fraction of requests that arrive at the first router.
+	skew float64
+	// restarts is how often the process that grants permits restarts.
 	restarts int
-	// cut is the part of the routers that do not reach it.
-	cut float64
+	// partitioned is the fraction of the routers that can't reach it.
+	partitioned float64
 }
 
-// request is one of a load.
+// request is one request of a workload.
 type request struct {
 	at     time.Duration
 	router int
 }
 
-// draw draws the requests of a load.
-func (l load) draw(r *rand.Rand) []request {
+// requests returns random requests of a workload.
+func (l workload) requests(r *rand.Rand) []request {
 	var out []request
-	rate := float64(l.limit) * l.demand
-	for at := time.Duration(0); at < l.lasts; {
+	rate := float64(l.limit) * l.demandFactor
+	for at := time.Duration(0); at < l.duration; {
 		at += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
 		router := r.IntN(l.routers)
-		if r.Float64() < l.hot {
+		if r.Float64() < l.skew {
 			router = 0
 		}
 		out = append(out, request{at, router})
@@ -64,15 +64,15 @@
 	return out
 }
 
-// played is what came of a load.
-type played struct {
+// result is the result of a simulation.
+type result struct {
 	sends []time.Duration
-	// messages is how many questions and reports the busiest process took.
+	// messages is the number of messages that the busiest process received.
 	messages int
 }
 
-// most returns the most requests within a window.
-func (p played) most() int {
+// maxInWindow returns the maximum number of requests within a window.
+func (p result) maxInWindow() int {
 	slices.Sort(p.sends)
 	n, first := 0, 0
 	for i, at := range p.sends {
@@ -84,39 +84,39 @@
 	return n
 }
 
-// way is a way to share a limit among routers.
-type way func(l load, requests []request, r *rand.Rand) played
+// strategy simulates a way to share a limit among routers.
+type strategy func(l workload, requests []request, r *rand.Rand) result
 
-// byPermits asks one process for each request: the way that is built.
-func byPermits(l load, requests []request, r *rand.Rand) played {
-	var p played
+// permitStrategy asks one process for a permit for each request. It is the strategy of [Permits].
+func permitStrategy(l workload, requests []request, r *rand.Rand) result {
+	var p result
 	begun := time.Now()
 	b := BoundOf(l.limit)
 	gate := &Permits{Since: begun.Add(-time.Minute)}
 	var restarts []time.Duration
 	for range l.restarts {
-		restarts = append(restarts, time.Duration(r.Int64N(int64(l.lasts))))
+		restarts = append(restarts, time.Duration(r.Int64N(int64(l.duration))))
 	}
 	slices.Sort(restarts)
 	shares := make([]warmup.Shares, l.routers)
 	part := b
 	part.Rate *= 0.5
-	// denied is until when routers know that there is no permit: none of their requests asks
-	// then, and those that wait come back spread over minSpread at least.
+	// denied is until when each router knows that there is no permit. Its requests don't ask before
+	// then, and retry spread over at least minSpread.
 	denied := make([]time.Duration, l.routers)
 	const minSpread = 30 * time.Millisecond
-	spread := func(after time.Duration) time.Duration {
-		return after + time.Duration(r.Float64()*float64(max(after/2, minSpread)))
+	spread := func(delay time.Duration) time.Duration {
+		return delay + time.Duration(r.Float64()*float64(max(delay/2, minSpread)))
 	}
 	asks := newQueue(requests)
-	for asks.more() {
+	for asks.hasNext() {
 		x := asks.next()
 		now := begun.Add(x.at)
-		if float64(x.router) < l.cut*float64(l.routers) {
+		if float64(x.router) < l.partitioned*float64(l.routers) {
 			if shares[x.router].Take("a", part, l.routers, now) {
 				p.sends = append(p.sends, x.at)
 			} else {
-				asks.again(x, 200*time.Millisecond)
+				asks.retry(x, 200*time.Millisecond)
 			}
 			continue
 		}
@@ -125,49 +125,50 @@
 			restarts = restarts[1:]
 		}
 		if now.Before(gate.Since) {
-			asks.again(x, 200*time.Millisecond)
+			asks.retry(x, 200*time.Millisecond)
 			continue
 		}
 		if left := denied[x.router] - x.at; left > 0 {
-			asks.again(x, spread(left))
+			asks.retry(x, spread(left))
 			continue
 		}
 		p.messages++
-		granted, again := gate.Admit("a", b, 0, now)
+		granted, retryAfter := gate.Admit("a", b, 0, now)
 		if granted {
 			p.sends = append(p.sends, x.at+time.Duration(r.Int64N(int64(warmup.GrantLives))))
 			continue
 		}
-		denied[x.router] = x.at + again
-		asks.again(x, spread(again))
+		denied[x.router] = x.at + retryAfter
+		asks.retry(x, spread(retryAfter))
 	}
 	return p
 }
 
-// byShares has a lender give each router permits by what it has lately asked for, twice a second.
-func byShares(l load, requests []request, r *rand.Rand) played {
-	const every = 500 * time.Millisecond
-	var p played
+// allotmentStrategy has one process allot permits to the routers twice a second, by their recent
+// demand.
+func allotmentStrategy(l workload, requests []request, r *rand.Rand) result {
+	const interval = 500 * time.Millisecond
+	var p result
 	held, wanted := make([]int, l.routers), make([]int, l.routers)
 	carry, last := 0.0, time.Duration(0)
 	asks := newQueue(requests)
-	for asks.more() {
+	for asks.hasNext() {
 		x := asks.next()
-		for last+every <= x.at {
-			last += every
-			carry += float64(l.limit) * every.Seconds()
-			held = make([]int, l.routers) // what was not used is over
-			var lack []int
+		for last+interval <= x.at {
+			last += interval
+			carry += float64(l.limit) * interval.Seconds()
+			held = make([]int, l.routers) // unused permits expire
+			var short []int
 			for i, n := range wanted {
 				if n > 0 {
 					p.messages++
 				}
 				for range n {
-					lack = append(lack, i)
+					short = append(short, i)
 				}
 			}
-			r.Shuffle(len(lack), func(i, j int) { lack[i], lack[j] = lack[j], lack[i] })
-			for _, i := range lack[:min(int(carry), len(lack))] {
+			r.Shuffle(len(short), func(i, j int) { short[i], short[j] = short[j], short[i] })
+			for _, i := range short[:min(int(carry), len(short))] {
 				held[i]++
 				carry--
 			}
@@ -180,19 +181,19 @@
 			continue
 		}
 		wanted[x.router]++
-		asks.again(x, last+every-x.at)
+		asks.retry(x, last+interval-x.at)
 	}
 	return p
 }
 
-// byEstimate has each router keep to an even part, without messages.
-func byEstimate(l load, requests []request, _ *rand.Rand) played {
-	var p played
+// evenSplitStrategy limits each router to an equal part, without messages.
+func evenSplitStrategy(l workload, requests []request, _ *rand.Rand) result {
+	var p result
 	begun := time.Now()
 	parts := make([]bucket.Bucket, l.routers)
 	rate := float64(l.limit) / float64(l.routers)
 	asks := newQueue(requests)
-	for asks.more() {
+	for asks.hasNext() {
 		x := asks.next()
 		b := &parts[x.router]
 		b.Fill(rate, min(rate, 1), begun.Add(x.at))
@@ -200,15 +201,15 @@
 			p.sends = append(p.sends, x.at)
 			continue
 		}
-		asks.again(x, 200*time.Millisecond)
+		asks.retry(x, 200*time.Millisecond)
 	}
 	return p
 }
 
-// queue is requests by when they ask next; those that have waited for too long are refused.
-type queue []waiting
+// queue holds requests ordered by their next attempts; those that have waited too long are refused.
+type queue []pendingRequest
 
-type waiting struct {
+type pendingRequest struct {
 	request
 	until time.Duration
 }
@@ -216,7 +217,7 @@
 func newQueue(requests []request) *queue {
 	q := &queue{}
 	for _, x := range requests {
-		*q = append(*q, waiting{x, x.at + waits})
+		*q = append(*q, pendingRequest{x, x.at + maxWait})
 	}
 	heap.Init(q)
 	return q
@@ -225,7 +226,7 @@
 func (q *queue) Len() int           { return len(*q) }
 func (q *queue) Less(i, j int) bool { return (*q)[i].at < (*q)[j].at }
 func (q *queue) Swap(i, j int)      { (*q)[i], (*q)[j] = (*q)[j], (*q)[i] }
-func (q *queue) Push(x any)         { *q = append(*q, x.(waiting)) }
+func (q *queue) Push(x any)         { *q = append(*q, x.(pendingRequest)) }
 func (q *queue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
@@ -233,102 +234,103 @@
 	return x
 }
 
-func (q *queue) more() bool { return len(*q) > 0 }
+func (q *queue) hasNext() bool { return len(*q) > 0 }
 
-func (q *queue) next() waiting { return heap.Pop(q).(waiting) }
+func (q *queue) next() pendingRequest { return heap.Pop(q).(pendingRequest) }
 
-// again puts a request back that asks again after a time, if it waits so long.
-func (q *queue) again(x waiting, after time.Duration) {
-	x.at += max(after, asked)
+// retry puts a request back for another attempt after a delay, unless it would wait too long.
+func (q *queue) retry(x pendingRequest, delay time.Duration) {
+	x.at += max(delay, roundTripTime)
 	if x.at <= x.until {
 		heap.Push(q, x)
 	}
 }
 
-// The permits of one process keep the sum within the bound and use nearly all of the limit while
-// requests wait for it, however many routers there are.
+// All routers together must stay within the limit of a server, however many they are and when the
+// process that grants permits restarts; partitioned routers may add a margin. Without faults they must
+// use nearly all of the limit while requests wait.
 func TestPermitsKeepTheLimit(t *testing.T) {
 	faults := []struct {
 		name string
-		load load
-		// full: the limit is to be used up.
-		full bool
+		load workload
+		// saturated: the limit must be used up.
+		saturated bool
 	}{
-		{"calm", load{hot: 0.2}, true},
-		{"one router has all callers", load{hot: 1}, true},
-		{"little more is asked for than allowed", load{hot: 0.2, demand: 1.2}, false},
-		{"the process starts again", load{restarts: 5}, false},
-		{"a tenth of the routers are cut off", load{cut: 0.1}, false},
+		{"calm", workload{skew: 0.2}, true},
+		{"one router has all requests", workload{skew: 1}, true},
+		{"the demand is slightly above the limit", workload{skew: 0.2, demandFactor: 1.2}, false},
+		{"the process restarts", workload{restarts: 5}, false},
+		{"a tenth of the routers are partitioned", workload{partitioned: 0.1}, false},
 	}
 	for _, routers := range []int{4, 24, 102, 384, 1000} {
 		for _, limit := range []sumachead.RequestRate{0.2, 1, 2.5, 20, 200} {
 			for _, tt := range faults {
 				t.Run(fmt.Sprintf("%d routers, limit %v, %s", routers, limit, tt.name), func(t *testing.T) {
 					l := tt.load
-					l.routers, l.limit, l.lasts, l.demand = routers, limit, playTime(limit), cmp.Or(l.demand, demandFor(limit))
-					checkPermits(t, l, tt.full)
+					l.routers, l.limit, l.duration, l.demandFactor = routers, limit, durationFor(limit), cmp.Or(l.demandFactor, demandFactorFor(limit))
+					simulatePermits(t, l, tt.saturated)
 				})
 			}
 		}
 	}
 }
 
-// demandFor returns how many times a limit is asked for if some request always waits for it.
-func demandFor(limit sumachead.RequestRate) float64 {
-	const least, requests = 3, 8 // requests a second
-	return max(least, requests/float64(limit))
+// demandFactorFor returns a demand factor at which some request always waits for a permit.
+func demandFactorFor(limit sumachead.RequestRate) float64 {
+	const minFactor, requests = 3, 8 // requests per second
+	return max(minFactor, requests/float64(limit))
 }
 
-// playTime returns how long a load lasts: as long as some hundred permits take, within bounds.
-func playTime(limit sumachead.RequestRate) time.Duration {
+// durationFor returns the duration of a workload: the time for a few hundred permits, within bounds.
+func durationFor(limit sumachead.RequestRate) time.Duration {
 	const permits = 300
 	return min(max(time.Duration(permits/float64(limit)*float64(time.Second)), 2*window), 2*time.Minute)
 }
 
-// checkPermits plays a load with some seeds.
-func checkPermits(t *testing.T, l load, full bool) {
+// simulatePermits simulates a workload with a few seeds and checks the results.
+func simulatePermits(t *testing.T, l workload, saturated bool) {
 	t.Helper()
-	allowed := windowFactor*float64(l.limit)*window.Seconds() + windowSlack
-	if l.cut > 0 {
-		allowed = 1.5*float64(l.limit)*window.Seconds() + 5 // what cut routers use comes on top
+	allowed := maxRateFactor*float64(l.limit)*window.Seconds() + slack
+	if l.partitioned > 0 {
+		allowed = 1.5*float64(l.limit)*window.Seconds() + 5 // plus what partitioned routers use
 	}
 	for seed := range uint64(3) {
 		r := rand.New(rand.NewPCG(seed, uint64(l.routers)))
-		p := byPermits(l, l.draw(r), r)
-		if n := p.most(); float64(n) > allowed {
-			t.Errorf("seed %d: %d requests in %v, %.1f are allowed", seed, n, window, allowed)
+		p := permitStrategy(l, l.requests(r), r)
+		if n := p.maxInWindow(); float64(n) > allowed {
+			t.Errorf("seed %d: %d requests in %v, want at most %.1f", seed, n, window, allowed)
 		}
-		if all := float64(l.limit) * l.lasts.Seconds(); full && float64(len(p.sends)) < 0.9*all {
-			t.Errorf("seed %d: %d requests in %v of %.0f", seed, len(p.sends), l.lasts, all)
+		if all := float64(l.limit) * l.duration.Seconds(); saturated && float64(len(p.sends)) < 0.9*all {
+			t.Errorf("seed %d: %d requests in %v, want nearly %.0f", seed, len(p.sends), l.duration, all)
 		}
 	}
 }
 
-// TestWays prints what the ways give; WAYS=N plays each N times.
+// TestWays prints a comparison of the strategies; WAYS=N simulates each N times.
 func TestWays(t *testing.T) {
-	plays, err := strconv.Atoi(os.Getenv("WAYS"))
+	runs, err := strconv.Atoi(os.Getenv("WAYS"))
 	if err != nil {
 		t.Skip("WAYS is not set")
 	}
-	ways := []struct {
+	strategies := []struct {
 		name string
-		way  way
-	}{{"permits", byPermits}, {"shares", byShares}, {"estimate", byEstimate}}
-	for _, hot := range []float64{0, 0.8} {
+		run  strategy
+	}{{"permits", permitStrategy}, {"shares", allotmentStrategy}, {"estimate", evenSplitStrategy}}
+	for _, skew := range []float64{0, 0.8} {
 		for _, routers := range []int{4, 24, 102, 384, 1000} {
 			for _, limit := range []sumachead.RequestRate{0.2, 1, 5, 50, 200} {
-				l := load{routers: routers, limit: limit, lasts: playTime(limit), demand: demandFor(limit), hot: hot}
-				for _, w := range ways {
-					most, used, messages := 0, 0.0, 0.0
-					for seed := range uint64(plays) {
+				l := workload{routers: routers, limit: limit, duration: durationFor(limit), demandFactor: demandFactorFor(limit), skew: skew}
+				for _, w := range strategies {
+					worst, used, messages := 0, 0.0, 0.0
+					for seed := range uint64(runs) {
 						r := rand.New(rand.NewPCG(seed, 1))
-						p := w.way(l, l.draw(r), r)
-						most = max(most, p.most())
-						used += float64(len(p.sends)) / (float64(limit) * l.lasts.Seconds()) / float64(plays)
-						messages += float64(p.messages) / l.lasts.Seconds() / float64(plays)
+						p := w.run(l, l.requests(r), r)
+						worst = max(worst, p.maxInWindow())
+						used += float64(len(p.sends)) / (float64(limit) * l.duration.Seconds()) / float64(runs)
+						messages += float64(p.messages) / l.duration.Seconds() / float64(runs)
 					}
-					fmt.Printf("%g,%d,%g,%s,%.2f,%.2f,%.1f\n", hot, routers, limit, w.name,
-						float64(most)/(windowFactor*float64(limit)*window.Seconds()+windowSlack), used, messages)
+					fmt.Printf("%g,%d,%g,%s,%.2f,%.2f,%.1f\n", skew, routers, limit, w.name,
+						float64(worst)/(maxRateFactor*float64(limit)*window.Seconds()+slack), used, messages)
 				}
 			}
 		}
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -7,7 +7,7 @@
 	"sumachead/api/wire"
 )
 
-// ToWire returns the message that tells an observation at a time; nil for none.
+// ToWire returns the message for an observation that is sent at a time, or nil for the zero value.
 func (o Observation) ToWire(now sumachead.BootTime) *wire.LimitObservation {
 	if o == (Observation{}) {
 		return nil
@@ -15,7 +15,7 @@
 	return &wire.LimitObservation{Rate: float64(o.Rate), AgeMicros: max(now.Sub(o.At), 0).Microseconds()}
 }
 
-// FromWire returns the observation of a message that came at a time; the zero value for nil.
+// FromWire returns the observation in a message received at a time, or the zero value for nil.
 func FromWire(m *wire.LimitObservation, now sumachead.BootTime) Observation {
 	if m == nil {
 		return Observation{}
