--- a/internal/bucket/bucket.go
+++ b/internal/bucket/bucket.go
@@ -1,11 +1,12 @@
-// Package bucket is a token bucket that may be one of many small parts of a whole.
+// Package bucket provides a token bucket that may be a small part of a rate limit shared by many
+// processes.
 //
-// A bound that many processes share without messages is divided by their number, and a
-// part may then be less than one token. Such a [Bucket] gives out a whole token by chance,
-// with the probability of what it holds, and is empty after the draw, whichever way that
-// went: all parts together give out what the whole may, on average, and in any short time
-// by hardly more than chance. (Where a draw that failed used nothing up, 410 parts of 3.3
-// a second gave out 22 within one second.)
+// A limit that processes share without coordination is divided by their number, and the size of a
+// part may then be less than one token. Such a [Bucket] grants a whole token at random, with a
+// probability equal to the tokens it holds, and is empty afterwards whether it granted one or not. So
+// all parts together grant the shared rate on average, and hardly exceed it for short times beyond
+// random variation. If a failed attempt left the tokens in the bucket, 410 parts that share 3.3 tokens
+// per second could grant 22 in one second.
 package bucket
 
 import (
@@ -13,34 +14,34 @@
 	"time"
 )
 
-// Bucket holds tokens up to a size that the caller tells with each call, since it may
-// change. It is full at first; the zero value is ready. It is not safe for concurrent use.
+// Bucket holds tokens up to a size, which callers pass to each call since it may change. It is
+// initially full; the zero value is ready to use. It is not safe for concurrent use.
 type Bucket struct {
 	tokens float64
-	// filled is when tokens was last brought up to date; zero before the first call.
-	filled time.Time
+	// refilledAt is when tokens was last updated; zero before the first call.
+	refilledAt time.Time
 }
 
-// Fill earns what the time since the last call is worth, at a rate of tokens a second, up
-// to size.
+// Refill adds the tokens for the time since the last call, at a rate in tokens per second, up to size.
 func (b *Bucket) Fill(rate, size float64, now time.Time) {
-	if b.filled.IsZero() {
+	if b.refilledAt.IsZero() {
 		b.tokens = size
 	} else {
-		b.tokens += rate * now.Sub(b.filled).Seconds()
+		b.tokens += rate * now.Sub(b.refilledAt).Seconds()
 	}
-	b.filled = now
+	b.refilledAt = now
 	b.tokens = min(b.tokens, size)
 }
 
-// Start makes the bucket hold so many tokens instead of being full at first.
-func (b *Bucket) Start(tokens float64, now time.Time) { b.tokens, b.filled = tokens, now }
+// Reset sets the tokens that the bucket holds. Before the first Refill it replaces the initial full
+// bucket.
+func (b *Bucket) Reset(tokens float64, now time.Time) { b.tokens, b.refilledAt = tokens, now }
 
-// Add puts tokens in, up to size.
+// Add adds tokens, up to size.
 func (b *Bucket) Add(tokens, size float64) { b.tokens = min(b.tokens+tokens, size) }
 
-// Take takes a whole token and reports whether there was one. A bucket of a size below one
-// draws for it.
+// Take takes a whole token and reports whether there was one. With a size below one, it grants the
+// token at random.
 func (b *Bucket) Take(size float64) bool {
 	if size < 1 {
 		p := max(b.tokens, 0)
@@ -50,17 +51,18 @@
 	return b.TakeAbove(0)
 }
 
-// TakeAbove takes a whole token if so many more are left afterwards.
-func (b *Bucket) TakeAbove(left float64) bool {
-	if b.tokens < 1+left {
+// TakeAbove takes a whole token if at least the reserved tokens remain afterwards, and reports whether
+// it did.
+func (b *Bucket) TakeAbove(reserved float64) bool {
+	if b.tokens < 1+reserved {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// Until returns how long it takes, at a rate of tokens a second, until the bucket holds so
-// many; 0 if it does.
+// TimeUntil returns how long it takes, at a rate in tokens per second, until the bucket holds the given
+// number of tokens, or 0 if it already does.
 func (b *Bucket) Until(tokens, rate float64) time.Duration {
 	if b.tokens >= tokens || rate <= 0 {
 		return 0
