--- a/internal/blame/simulation_test.go
+++ b/internal/blame/simulation_test.go
@@ -118,8 +118,8 @@
 	r.Node = fmt.Sprint(router)
 	m.after(m.randDelay(2*time.Millisecond, 20*time.Millisecond), func() {
 		m.publish(m.tracker.Note(r, m.list.Standing, m.wallTime()))
-		answer := m.list.Some(r)
-		m.after(m.randDelay(2*time.Millisecond, 20*time.Millisecond), func() { m.tables[router].Take(answer); then() })
+		reply := m.list.Some(r)
+		m.after(m.randDelay(2*time.Millisecond, 20*time.Millisecond), func() { m.tables[router].Take(reply); then() })
 	})
 }
 
--- a/internal/blame/tracker_test.go
+++ b/internal/blame/tracker_test.go
@@ -56,7 +56,7 @@
 	c.crash("b", "s2", bad)
 }
 
-func TestDocket(t *testing.T) {
+func TestTracker(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(t *testing.T, c *fixture)
@@ -297,9 +297,9 @@
 		active int
 	}{
 		{"suspected", func() *wire.Suspects { set(suspected); return l.Since(table.Revision()) }, suspected, 1},
-		{"an answer to a report", func() *wire.Suspects { set(barred); return l.Some(&wire.EndsReport{Survived: [][]byte{bad[:]}}) }, barred, 1},
+		{"a reply to a report", func() *wire.Suspects { set(barred); return l.Some(&wire.EndsReport{Survived: [][]byte{bad[:]}}) }, barred, 1},
 		{"the same from a poll", func() *wire.Suspects { return l.Since(table.Revision()) }, barred, 1},
-		{"an older answer", func() *wire.Suspects {
+		{"an older reply", func() *wire.Suspects {
 			return &wire.Suspects{Suspects: []*wire.Suspect{{Fingerprint: bad[:], Standing: suspected, Revision: 1}}}
 		}, barred, 1},
 		{"cleared", func() *wire.Suspects { set(cleared); return l.Since(table.Revision()) }, cleared, 0},
--- a/internal/ratelimit/strategies_test.go
+++ b/internal/ratelimit/strategies_test.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// TestWays prints a comparison of the strategies; WAYS=N simulates each N times.
-func TestWays(t *testing.T) {
+// TestStrategies prints a comparison of the strategies; WAYS=N simulates each N times.
+func TestStrategies(t *testing.T) {
 	runs, err := strconv.Atoi(os.Getenv("WAYS"))
 	if err != nil {
 		t.Skip("WAYS is not set")
--- a/internal/rollout/sampler.go
+++ b/internal/rollout/sampler.go
@@ -137,7 +137,7 @@
 	return false
 }
 
-// ReturnGrant gives back the grant that Draw has spent for a request that was not sent to the target
+// CancelSample gives back the grant that Draw has spent for a request that was not sent to the target
 // version.
 func (s *Sampler) Undo(service string) {
 	s.mu.Lock()
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -229,18 +229,18 @@
 // isDefective reports whether the defect of the version may affect a request.
 func (p *simulation) isDefective(s *Sample, x simulatedRoute) bool {
 	now := p.sinceOrder()
-	lately := p.perServer[s.Server]
-	for len(lately) > 0 && now-lately[0] > time.Second {
-		lately = lately[1:]
+	recent := p.perServer[s.Server]
+	for len(recent) > 0 && now-recent[0] > time.Second {
+		recent = recent[1:]
 	}
-	p.perServer[s.Server] = append(lately, now)
+	p.perServer[s.Server] = append(recent, now)
 	total := 0.0
 	for _, y := range p.routes {
 		total += y.perSecond
 	}
 	// Somewhat below the average load of a server, since arrivals vary.
 	const loadFactor = 0.6
-	loaded := float64(len(lately)) >= loadFactor*total/float64(p.servers)
+	loaded := float64(len(recent)) >= loadFactor*total/float64(p.servers)
 	return now >= p.defect.after && (p.defect.route == "" || p.defect.route == x.name) && (!p.defect.underLoad || loaded)
 }
 
