--- a/internal/blame/docket.go
+++ b/internal/blame/docket.go
@@ -57,7 +57,7 @@
 // Tracker tracks, at the leading keeper, the requests that were running when servers crashed. Its
 // state is not replicated: only the resulting standings are in the fleet's log ([List]), and a new
 // leader starts counting from there. It is safe for concurrent use; the zero value is ready to use.
-type Docket struct {
+type Tracker struct {
 	mu      sync.Mutex // guards the fields below
 	records map[sumachead.Fingerprint]*record
 	// trials are the requests that run on trial, keyed by server.
@@ -70,10 +70,10 @@
 
 // HandleReport records a router's report and returns the standings that it changes. The function
 // standing returns the current standing of a request.
-func (d *Docket) Note(r *wire.EndsReport, standing func(sumachead.Fingerprint) wire.Standing, now time.Time) []*wire.Suspect {
+func (d *Tracker) HandleReport(r *wire.EndsReport, standing func(sumachead.Fingerprint) wire.Standing, now time.Time) []*wire.Suspect {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := &update{Docket: d, standing: standing, now: now}
+	n := &update{Tracker: d, standing: standing, now: now}
 	d.addServers(r, now)
 	for _, e := range r.GetEnds() {
 		n.recordCrash(r.GetNode(), e)
@@ -96,7 +96,7 @@
 
 // update is the state while a tracker processes one report.
 type update struct {
-	*Docket
+	*Tracker
 	standing func(sumachead.Fingerprint) wire.Standing
 	now      time.Time
 	changes  []*wire.Suspect
@@ -138,7 +138,7 @@
 // addCrash counts a crash of a server that ran a request, unless it is known: a router sends a
 // report again if its change was not committed. It returns nil if there are too many records.
 // The caller holds mu.
-func (d *Docket) addCrash(f sumachead.Fingerprint, node string, e *wire.ServerEnd, now time.Time) *record {
+func (d *Tracker) addCrash(f sumachead.Fingerprint, node string, e *wire.ServerEnd, now time.Time) *record {
 	c := d.recordOf(f, now)
 	if c == nil {
 		return nil
@@ -170,7 +170,7 @@
 }
 
 // addServers records which servers have crashed and removes old crashes. The caller holds mu.
-func (d *Docket) addServers(r *wire.EndsReport, now time.Time) {
+func (d *Tracker) addServers(r *wire.EndsReport, now time.Time) {
 	const windows = 4 // later reports come from routers that were partitioned
 	d.recent = slices.DeleteFunc(d.recent, func(o crash) bool { return now.Sub(o.at) > windows*correlationWindow })
 	d.decided = slices.DeleteFunc(d.decided, func(f sumachead.Fingerprint) bool {
@@ -191,7 +191,7 @@
 
 // DecideTrial decides whether a router may run a suspected request on trial at a server. The
 // function standing returns the current standing of a request.
-func (d *Docket) Try(r *wire.TrialRequest, standing func(sumachead.Fingerprint) wire.Standing, now time.Time) wire.Trial {
+func (d *Tracker) DecideTrial(r *wire.TrialRequest, standing func(sumachead.Fingerprint) wire.Standing, now time.Time) wire.Trial {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f, ok := parse(r.GetFingerprint())
@@ -220,7 +220,7 @@
 }
 
 // HasCrashes reports whether a server has crashed while running a request since its last success.
-func (d *Docket) Accused(f sumachead.Fingerprint) bool {
+func (d *Tracker) HasCrashes(f sumachead.Fingerprint) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.records[f]
@@ -228,7 +228,7 @@
 }
 
 // Len returns the number of requests on record.
-func (d *Docket) Len() int {
+func (d *Tracker) Len() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.records)
@@ -236,7 +236,7 @@
 
 // Expire removes the records of requests without recent reports, and returns the changes of those
 // standings that have expired.
-func (d *Docket) Expire(suspects []*wire.Suspect, now time.Time) []*wire.Suspect {
+func (d *Tracker) Expire(suspects []*wire.Suspect, now time.Time) []*wire.Suspect {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for f, c := range d.records {
@@ -270,7 +270,7 @@
 
 // recordOf returns the record of a request, which it creates if needed; nil if there are too many.
 // The caller holds mu.
-func (d *Docket) recordOf(f sumachead.Fingerprint, now time.Time) *record {
+func (d *Tracker) recordOf(f sumachead.Fingerprint, now time.Time) *record {
 	c := d.records[f]
 	if c == nil {
 		if len(d.records) >= maxRecords {
@@ -287,7 +287,7 @@
 }
 
 // suspect returns the message with the new standing of a request. The caller holds mu.
-func (d *Docket) suspect(f sumachead.Fingerprint, s wire.Standing, now time.Time) *wire.Suspect {
+func (d *Tracker) suspect(f sumachead.Fingerprint, s wire.Standing, now time.Time) *wire.Suspect {
 	ttl, c := standingTTL, d.records[f]
 	if s == wire.Standing_STANDING_BARRED && c != nil && now.Sub(c.succeededAt) < successTTL {
 		ttl = retrialDelay
@@ -302,7 +302,7 @@
 }
 
 // endTrial ends the trial of a request, if any. The caller holds mu.
-func (d *Docket) endTrial(c *record) {
+func (d *Tracker) endTrial(c *record) {
 	if c.trial == nil {
 		return
 	}
@@ -313,7 +313,7 @@
 }
 
 // clear resets the crashes of a request that has succeeded. The caller holds mu.
-func (d *Docket) clear(f sumachead.Fingerprint, now time.Time) {
+func (d *Tracker) clear(f sumachead.Fingerprint, now time.Time) {
 	if c := d.records[f]; c != nil {
 		d.endTrial(c)
 		d.records[f] = &record{succeededAt: now, updatedAt: now}
@@ -321,7 +321,7 @@
 }
 
 // remove removes the record of a request. The caller holds mu.
-func (d *Docket) remove(f sumachead.Fingerprint) {
+func (d *Tracker) remove(f sumachead.Fingerprint) {
 	if c := d.records[f]; c != nil {
 		d.endTrial(c)
 		delete(d.records, f)
--- a/internal/blame/docket_test.go
+++ b/internal/blame/docket_test.go
@@ -19,14 +19,14 @@
 
 // fixture is a tracker whose changes are committed at once, unless commits fail.
 type fixture struct {
-	tracker     Docket
+	tracker     Tracker
 	list        List
 	now         time.Time
 	commitFails bool
 }
 
 func (c *fixture) handleReport(r *wire.EndsReport) {
-	changes := c.tracker.Note(r, c.list.Standing, c.now)
+	changes := c.tracker.HandleReport(r, c.list.Standing, c.now)
 	if !c.commitFails {
 		c.list.Apply(&wire.Suspects{Suspects: changes})
 	}
@@ -38,7 +38,7 @@
 
 func (c *fixture) requestTrialAt(node, server string, number uint64, f sumachead.Fingerprint) wire.Trial {
 	r := &wire.TrialRequest{Node: node, Fingerprint: f[:], DeadlineMillis: 6000, Number: number, Server: server}
-	return c.tracker.Try(r, c.list.Standing, c.now)
+	return c.tracker.DecideTrial(r, c.list.Standing, c.now)
 }
 
 // requestTrial requests a trial at the third server.
@@ -186,7 +186,7 @@
 		}, barred},
 		{"a new leader continues from the log", func(t *testing.T, c *fixture) {
 			c.suspect()
-			c.tracker = Docket{}
+			c.tracker = Tracker{}
 			if !c.requestTrial("a", 1, bad) {
 				t.Error("no trial was granted")
 			}
@@ -196,7 +196,7 @@
 			c.suspect()
 			short := bad[:3]
 			c.handleReport(&wire.EndsReport{Node: "a", Ends: []*wire.ServerEnd{{Fingerprint: short}}, Survived: [][]byte{short}, Untried: [][]byte{nil}})
-			c.tracker.Try(&wire.TrialRequest{Fingerprint: short}, c.list.Standing, c.now)
+			c.tracker.DecideTrial(&wire.TrialRequest{Fingerprint: short}, c.list.Standing, c.now)
 		}, suspected},
 	}
 	for _, tt := range tests {
@@ -278,9 +278,9 @@
 		t.Errorf("%d suspects are listed", n)
 	}
 	table := Table{}
-	table.Take(c.list.Since(0))
-	if table.Held() != maxSuspects || len(table.suspects) != maxSuspects {
-		t.Errorf("%d active, %d known", table.Held(), len(table.suspects))
+	table.Merge(c.list.Since(0))
+	if table.ActiveCount() != maxSuspects || len(table.suspects) != maxSuspects {
+		t.Errorf("%d active, %d known", table.ActiveCount(), len(table.suspects))
 	}
 }
 
@@ -297,7 +297,7 @@
 		active int
 	}{
 		{"suspected", func() *wire.Suspects { set(suspected); return l.Since(table.Revision()) }, suspected, 1},
-		{"a reply to a report", func() *wire.Suspects { set(barred); return l.Some(&wire.EndsReport{Survived: [][]byte{bad[:]}}) }, barred, 1},
+		{"a reply to a report", func() *wire.Suspects { set(barred); return l.ForReport(&wire.EndsReport{Survived: [][]byte{bad[:]}}) }, barred, 1},
 		{"the same from a poll", func() *wire.Suspects { return l.Since(table.Revision()) }, barred, 1},
 		{"an older reply", func() *wire.Suspects {
 			return &wire.Suspects{Suspects: []*wire.Suspect{{Fingerprint: bad[:], Standing: suspected, Revision: 1}}}
@@ -308,9 +308,9 @@
 		}, cleared, 0},
 	}
 	for _, tt := range tests {
-		table.Take(tt.take())
-		if got, _ := table.Known(bad); got != tt.want || table.Held() != tt.active {
-			t.Errorf("%s: %v, %d active; want %v, %d", tt.name, got, table.Held(), tt.want, tt.active)
+		table.Merge(tt.take())
+		if got, _ := table.Standing(bad); got != tt.want || table.ActiveCount() != tt.active {
+			t.Errorf("%s: %v, %d active; want %v, %d", tt.name, got, table.ActiveCount(), tt.want, tt.active)
 		}
 	}
 	// A restored list holds the same state and continues its revisions.
--- a/internal/blame/list.go
+++ b/internal/blame/list.go
@@ -75,7 +75,7 @@
 
 // ForReport returns the suspects that a report mentions. The result has no revision, since it is
 // only a part of the list.
-func (l *List) Some(r *wire.EndsReport) *wire.Suspects {
+func (l *List) ForReport(r *wire.EndsReport) *wire.Suspects {
 	out := &wire.Suspects{}
 	add := func(fingerprint []byte) {
 		if f, ok := parse(fingerprint); ok && l.suspects[f] != nil {
--- a/internal/blame/model_test.go
+++ b/internal/blame/model_test.go
@@ -82,7 +82,7 @@
 	events    eventQueue
 	engines   []*engine
 	tables    []Table
-	tracker   Docket
+	tracker   Tracker
 	list      List
 	bad       sumachead.Fingerprint
 	crashes   int
@@ -117,9 +117,9 @@
 func (m *simulation) report(router int, r *wire.EndsReport, then func()) {
 	r.Node = fmt.Sprint(router)
 	m.after(m.randDelay(2*time.Millisecond, 20*time.Millisecond), func() {
-		m.publish(m.tracker.Note(r, m.list.Standing, m.wallTime()))
-		reply := m.list.Some(r)
-		m.after(m.randDelay(2*time.Millisecond, 20*time.Millisecond), func() { m.tables[router].Take(reply); then() })
+		m.publish(m.tracker.HandleReport(r, m.list.Standing, m.wallTime()))
+		reply := m.list.ForReport(r)
+		m.after(m.randDelay(2*time.Millisecond, 20*time.Millisecond), func() { m.tables[router].Merge(reply); then() })
 	})
 }
 
@@ -144,7 +144,7 @@
 
 // send sends a request from a router, with retries; done is called with whether it succeeded.
 func (m *simulation) send(f sumachead.Fingerprint, router, attempts int, done func(succeeded bool)) {
-	standing, _ := m.tables[router].Known(f)
+	standing, _ := m.tables[router].Standing(f)
 	i, e := m.pick()
 	if e == nil || standing == wire.Standing_STANDING_BARRED {
 		if e != nil && f != m.bad {
@@ -163,7 +163,7 @@
 	if standing == wire.Standing_STANDING_SUSPECTED {
 		run.trial = m.rand.Uint64()
 		r := &wire.TrialRequest{Node: fmt.Sprint(router), Fingerprint: f[:], Server: fmt.Sprint("e", i, "-", e.incarnation), Number: run.trial, DeadlineMillis: 6000}
-		if m.tracker.Try(r, m.list.Standing, m.wallTime()) != wire.Trial_TRIAL_GRANTED {
+		if m.tracker.DecideTrial(r, m.list.Standing, m.wallTime()) != wire.Trial_TRIAL_GRANTED {
 			if f != m.bad {
 				m.trialRefusals++
 			}
@@ -186,7 +186,7 @@
 			return
 		}
 		m.succeeded[successKey{router, f}] = m.now
-		if m.tracker.Accused(f) { // the router knows this, since it has reported the crash
+		if m.tracker.HasCrashes(f) { // the router knows this, since it has reported the crash
 			m.report(router, &wire.EndsReport{Survived: [][]byte{f[:]}}, func() {})
 		}
 		done(true)
@@ -232,7 +232,7 @@
 	m.list.Apply(&wire.Suspects{Suspects: changes})
 	news := m.list.Since(before)
 	for i := range m.tables {
-		m.after(m.randDelay(2*time.Millisecond, 60*time.Millisecond), func() { m.tables[i].Take(news) })
+		m.after(m.randDelay(2*time.Millisecond, 60*time.Millisecond), func() { m.tables[i].Merge(news) })
 	}
 }
 
--- a/internal/blame/served.go
+++ b/internal/blame/served.go
@@ -15,7 +15,7 @@
 // RecentSuccesses remembers the requests that have succeeded within the last successTTL, or within
 // less if there are many. Each costs a fast hash. It is safe for concurrent use; the zero value is
 // ready to use.
-type Served struct {
+type RecentSuccesses struct {
 	once sync.Once
 	seed maphash.Seed
 
@@ -27,7 +27,7 @@
 }
 
 // Add records that a request has succeeded.
-func (s *Served) Note(w sumachead.WorkspaceID, r *sumachead.CallerRequest, now time.Time) {
+func (s *RecentSuccesses) Add(w sumachead.WorkspaceID, r *sumachead.CallerRequest, now time.Time) {
 	k := s.key(w, r)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 }
 
 // Contains reports whether a request has succeeded recently.
-func (s *Served) Has(w sumachead.WorkspaceID, r *sumachead.CallerRequest, now time.Time) bool {
+func (s *RecentSuccesses) Contains(w sumachead.WorkspaceID, r *sumachead.CallerRequest, now time.Time) bool {
 	k := s.key(w, r)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 }
 
 // key returns a hash of what identifies a request.
-func (s *Served) key(w sumachead.WorkspaceID, r *sumachead.CallerRequest) uint64 {
+func (s *RecentSuccesses) key(w sumachead.WorkspaceID, r *sumachead.CallerRequest) uint64 {
 	s.once.Do(func() { s.seed = maphash.MakeSeed() })
 	var h maphash.Hash
 	h.SetSeed(s.seed)
--- a/internal/blame/served_test.go
+++ b/internal/blame/served_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestServed(t *testing.T) {
-	var s Served
+	var s RecentSuccesses
 	start := time.UnixMilli(1_700_000_000_000)
 	request := func(path string) *sumachead.CallerRequest { return &sumachead.CallerRequest{Path: path} }
-	s.Note("clerks", request("/a"), start)
-	s.Note("clerks", request("/b"), start.Add(successTTL/2+1))
+	s.Add("clerks", request("/a"), start)
+	s.Add("clerks", request("/b"), start.Add(successTTL/2+1))
 	tests := []struct {
 		name  string
 		w     sumachead.WorkspaceID
@@ -29,12 +29,12 @@
 		{"both halves too long ago", "clerks", "/b", 2 * successTTL, false},
 	}
 	for _, tt := range tests {
-		if got := s.Has(tt.w, request(tt.path), start.Add(tt.after)); got != tt.want {
+		if got := s.Contains(tt.w, request(tt.path), start.Add(tt.after)); got != tt.want {
 			t.Errorf("%s: %t", tt.name, got)
 		}
 	}
 	for i := range 3 * maxSuccesses {
-		s.Note("clerks", request(fmt.Sprint(i)), start)
+		s.Add("clerks", request(fmt.Sprint(i)), start)
 	}
 	if n := len(s.recent) + len(s.previous); n > 2*maxSuccesses {
 		t.Errorf("%d requests are remembered", n)
@@ -43,10 +43,10 @@
 
 // BenchmarkServed measures recording a success of a request with a body of 17 kB.
 func BenchmarkServed(b *testing.B) {
-	var s Served
+	var s RecentSuccesses
 	const bytes = 17_000
 	r := &sumachead.CallerRequest{Path: "/r/x", Body: make([]byte, bytes)}
 	for b.Loop() {
-		s.Note("clerks", r, time.Now())
+		s.Add("clerks", r, time.Now())
 	}
 }
--- a/internal/blame/table.go
+++ b/internal/blame/table.go
@@ -22,7 +22,7 @@
 
 // Merge merges standings into the table and returns the suspects whose standing changed. Older
 // revisions than the known ones are ignored.
-func (t *Table) Take(s *wire.Suspects) (changed []*wire.Suspect) {
+func (t *Table) Merge(s *wire.Suspects) (changed []*wire.Suspect) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.revision = max(t.revision, s.GetRevision())
@@ -58,10 +58,10 @@
 }
 
 // ActiveCount returns the number of suspects that are not cleared.
-func (t *Table) Held() int { return int(t.active.Load()) }
+func (t *Table) ActiveCount() int { return int(t.active.Load()) }
 
 // Standing returns the standing of a request; ok is false if it was never suspected.
-func (t *Table) Known(f sumachead.Fingerprint) (s wire.Standing, ok bool) {
+func (t *Table) Standing(f sumachead.Fingerprint) (s wire.Standing, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x := t.suspects[f]
--- a/internal/bucket/bucket.go
+++ b/internal/bucket/bucket.go
@@ -23,7 +23,7 @@
 }
 
 // Refill adds the tokens for the time since the last call, at a rate in tokens per second, up to size.
-func (b *Bucket) Fill(rate, size float64, now time.Time) {
+func (b *Bucket) Refill(rate, size float64, now time.Time) {
 	if b.refilledAt.IsZero() {
 		b.tokens = size
 	} else {
@@ -63,7 +63,7 @@
 
 // TimeUntil returns how long it takes, at a rate in tokens per second, until the bucket holds the given
 // number of tokens, or 0 if it already does.
-func (b *Bucket) Until(tokens, rate float64) time.Duration {
+func (b *Bucket) TimeUntil(tokens, rate float64) time.Duration {
 	if b.tokens >= tokens || rate <= 0 {
 		return 0
 	}
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -69,7 +69,7 @@
 	servers   *registry.Table
 	sizer     *escrow.Allocator
 	followers *followers
-	docket    blame.Docket
+	docket    blame.Tracker
 	metrics   *metrics
 	// lines bounds what is logged of grants and of server records.
 	lines *telemetry.Lines
@@ -102,7 +102,7 @@
 	k.reports = make(chan *pendingReport)
 	k.stopped = make(chan struct{})
 	k.machine = NewMachine()
-	k.machine.rollouts.Open()
+	k.machine.rollouts.StartReplay()
 	k.machine.OnLeaving = func(id string) { k.servers.Leave(id, time.Now()) }
 	t := newTransport(ctx, k.Pool, func(address string) { k.node.PeerRefused(address) })
 	k.node = &raft.Node{
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -38,7 +38,7 @@
 	isLeaving map[string]bool
 	halls     halls
 	suspects  blame.List
-	rollouts  rollout.Book
+	rollouts  rollout.Store
 	// changed is closed when another declaration is put in force, an order for a data hall
 	// is taken, a roll-out changes, or a suspect stands otherwise.
 	changed chan struct{}
@@ -48,7 +48,7 @@
 func NewMachine() *Machine {
 	return &Machine{
 		declaration: &wire.Declaration{}, packed: &wire.PackedDeclaration{}, book: escrow.NewLedger(),
-		isLeaving: make(map[string]bool), changed: make(chan struct{}), rollouts: rollout.Book{Clock: boottime.Clock{}},
+		isLeaving: make(map[string]bool), changed: make(chan struct{}), rollouts: rollout.Store{Clock: boottime.Clock{}},
 	}
 }
 
@@ -82,11 +82,11 @@
 	case c.GetRollout() != nil:
 		return m.orderRollout(c.GetRollout())
 	case c.GetRolloutStep() != nil:
-		reply := m.rollouts.Step(c.GetRolloutStep())
+		reply := m.rollouts.Advance(c.GetRolloutStep())
 		m.notify()
 		return reply
 	case c.GetRolloutAllowance() != nil:
-		return m.rollouts.Allow(c.GetRolloutAllowance())
+		return m.rollouts.RaiseAllowance(c.GetRolloutAllowance())
 	}
 	return nil
 }
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -43,7 +43,7 @@
 	if !slices.ContainsFunc(m.declaration.GetCatalog().GetServices(), func(s *wire.Service) bool { return s.GetName() == o.GetService() }) {
 		return &wire.RolloutReply{Unknown: true}
 	}
-	reply := m.rollouts.Order(o)
+	reply := m.rollouts.Start(o)
 	m.notify()
 	return reply
 }
@@ -52,7 +52,7 @@
 func (m *Machine) Rollouts() *wire.Rollouts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.rollouts.Tell()
+	return m.rollouts.SnapshotWithAges()
 }
 
 // RolloutsRevision returns the revision of the newest change of a roll-out.
@@ -74,17 +74,17 @@
 }
 
 // going returns the roll-outs that go on, with a new watch of each.
-func (m *Machine) going(b rollout.Bounds) []*rollout.Watch {
+func (m *Machine) going(b rollout.Bounds) []*rollout.Controller {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []*rollout.Watch
+	var out []*rollout.Controller
 	for _, r := range m.rollouts.Snapshot().GetRollouts() {
 		if rollout.Ended(r) {
 			continue
 		}
-		w := &rollout.Watch{Service: r.GetService(), Order: r.GetOrder(), Bounds: b, Exposure: rollout.NewExposure(r)}
-		w.Ordered, w.Deadline = m.rollouts.Times(r.GetService())
-		w.Longest = longestRequest(m.declaration.GetCatalog(), r.GetService())
+		w := &rollout.Controller{Service: r.GetService(), Order: r.GetOrder(), Bounds: b, Exposure: rollout.NewExposure(r)}
+		w.OrderedAt, w.Deadline = m.rollouts.Times(r.GetService())
+		w.MaxRequestTime = longestRequest(m.declaration.GetCatalog(), r.GetService())
 		out = append(out, w)
 	}
 	return out
@@ -156,11 +156,11 @@
 	if w == nil || w.Order != r.GetOrder() {
 		return nil
 	}
-	answered, stale := w.Take(r, k.machine.rolloutOf(r.GetService()))
+	answered, stale := w.HandleReport(r, k.machine.rolloutOf(r.GetService()))
 	if answered == nil && !stale {
 		d, _ := k.machine.Declaration()
 		once := func(route string) bool { return runsOnce(d.GetCatalog(), r.GetService(), route) }
-		answered = w.Answer(r, once, k.followers.count(RoleRouter), boottime.Clock{}.Now())
+		answered = w.GrantRequests(r, once, k.followers.count(RoleRouter), boottime.Clock{}.Now())
 	}
 	proto.Merge(reply, answered)
 	return nil
@@ -173,7 +173,7 @@
 	history string
 	// revision is that of the roll-outs when they were last looked for.
 	revision uint64
-	of       map[string]*rollout.Watch
+	of       map[string]*rollout.Controller
 }
 
 // watchGoing begins to watch the orders that are new to this leader, and ends to watch those
@@ -184,7 +184,7 @@
 	if w.history == history && w.revision == revision {
 		return
 	}
-	of := make(map[string]*rollout.Watch)
+	of := make(map[string]*rollout.Controller)
 	for _, x := range k.machine.going(k.exposure()) {
 		if old := w.of[x.Service]; old != nil && old.Order == x.Order && w.history == history {
 			x = old
@@ -223,14 +223,14 @@
 	var out []*wire.FleetCommand
 	for _, w := range k.watches.of {
 		r := k.machine.rolloutOf(w.Service)
-		w.Exposure.Committed(r.GetAllowed())
-		if step := w.Next(r, k.fleetFor(r), now); step != nil {
+		w.Exposure.SetCommitted(r.GetAllowed())
+		if step := w.NextStep(r, k.fleetFor(r), now); step != nil {
 			k.Log.Info("A roll-out goes on to its next phase.", "service", w.Service, "target", r.GetTarget(), "phase", step.GetPhase().String(),
 				"reason", step.GetReason(), "allowed", r.GetAllowed(), "reached", w.Exposure.Reached())
 			out = append(out, &wire.FleetCommand{Command: &wire.FleetCommand_RolloutStep{RolloutStep: step}})
 			continue
 		}
-		if allowed, ok := w.Exposure.Wanted(w.Bounds, w.Passed(now)); ok && r.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL {
+		if allowed, ok := w.Exposure.NextAllowance(w.Bounds, w.TrialProgress(now)); ok && r.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL {
 			out = append(out, &wire.FleetCommand{Command: &wire.FleetCommand_RolloutAllowance{RolloutAllowance: &wire.RolloutAllowance{
 				Service: w.Service, Order: w.Order, Allowed: allowed, Reached: w.Exposure.Reached(),
 			}}})
@@ -241,18 +241,18 @@
 
 // fleetFor returns what is known of the servers of a service that is rolled out, and of the
 // routers.
-func (k *Keeper) fleetFor(r *wire.Rollout) *rollout.Fleet {
-	f := &rollout.Fleet{Routers: k.followers.nodesOf(RoleRouter), Known: k.servers.HeardOfAll(time.Now())}
+func (k *Keeper) fleetFor(r *wire.Rollout) *rollout.ServiceState {
+	f := &rollout.ServiceState{Routers: k.followers.nodesOf(RoleRouter), Complete: k.servers.HeardOfAll(time.Now())}
 	for version, slots := range k.servers.Versions(r.GetService()) {
 		switch {
 		case version == r.GetTarget():
-			f.Target += slots
+			f.TargetSlots += slots
 		case !slices.Contains(r.GetRejected(), version):
-			f.Others += slots
-			f.Replaced = append(f.Replaced, version)
+			f.OtherSlots += slots
+			f.ReplacedVersions = append(f.ReplacedVersions, version)
 		}
 	}
-	slices.Sort(f.Replaced)
+	slices.Sort(f.ReplacedVersions)
 	return f
 }
 
--- a/internal/fleet/suspects.go
+++ b/internal/fleet/suspects.go
@@ -46,7 +46,7 @@
 func (m *Machine) some(r *wire.EndsReport) *wire.Suspects {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.suspects.Some(r)
+	return m.suspects.ForReport(r)
 }
 
 // Ended takes in what a router tells of requests that may end servers, and answers how these
@@ -56,7 +56,7 @@
 	if err := k.leading(); err != nil {
 		return err
 	}
-	if err := k.setSuspects(k.docket.Note(r, k.machine.Standing, time.Now()), r.GetNode()); err != nil {
+	if err := k.setSuspects(k.docket.HandleReport(r, k.machine.Standing, time.Now()), r.GetNode()); err != nil {
 		return err
 	}
 	proto.Merge(reply, k.machine.some(r))
@@ -69,7 +69,7 @@
 	if err := k.leading(); err != nil {
 		return err
 	}
-	reply.Trial = k.docket.Try(r, k.machine.Standing, time.Now())
+	reply.Trial = k.docket.DecideTrial(r, k.machine.Standing, time.Now())
 	return nil
 }
 
--- a/internal/fleetclient/take.go
+++ b/internal/fleetclient/take.go
@@ -39,7 +39,7 @@
 		return
 	}
 	if c.Rollouts != nil {
-		c.Rollouts.Follow(s)
+		c.Rollouts.Update(s)
 	}
 	for _, x := range c.Servers.TakeRollouts(s) {
 		c.Log.Info("A roll-out's phase is in force.", "service", x.GetService(), "target", x.GetTarget(), "phase", x.GetPhase().String(),
@@ -52,7 +52,7 @@
 	if c.Suspects == nil || s == nil {
 		return
 	}
-	for _, x := range c.Suspects.Take(s) {
+	for _, x := range c.Suspects.Merge(s) {
 		c.lines.Info(c.Log, "How a request stands is in force.", "fingerprint", sumachead.Fingerprint(x.GetFingerprint()).String(),
 			"standing", x.GetStanding().String(), "servers", x.GetServers(), "revision", x.GetRevision())
 	}
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	end := d.sampler.Begin(l.Record.GetService(), l.Record.GetSoftware())
+	end := d.sampler.BeginRequest(l.Record.GetService(), l.Record.GetSoftware())
 	defer end()
 	id := sumachead.ServerID(l.Record.GetId())
 	d.tried = append(d.tried, id)
--- a/internal/gateway/gauges.go
+++ b/internal/gateway/gauges.go
@@ -149,11 +149,11 @@
 	if g.backedOff(address) {
 		return nil, false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), warmup.GrantLives)
+	ctx, cancel := context.WithTimeout(context.Background(), warmup.GrantTTL)
 	defer cancel()
 	begun := boottime.Clock{}.Now() // the boot clock includes suspension: a permit must not survive it
 	reply, err := callTracker[wire.AdmitReply](ctx, g, address, "Admit", q)
-	if err != nil || (boottime.Clock{}).Now().Sub(begun) > warmup.GrantLives {
+	if err != nil || (boottime.Clock{}).Now().Sub(begun) > warmup.GrantTTL {
 		return nil, false
 	}
 	return reply, true
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -39,7 +39,7 @@
 
 // refill credits the time since the last call. The caller holds mu.
 func (a *retryBudget) refill(now time.Time, routers int) {
-	a.bucket.Fill(a.rate(routers), a.capacity(routers), now)
+	a.bucket.Refill(a.rate(routers), a.capacity(routers), now)
 }
 
 // recordRequest records a request that is sent for the first time.
@@ -63,5 +63,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refill(now, routers)
-	return now.Add(a.bucket.Until(1, a.rate(routers)))
+	return now.Add(a.bucket.TimeUntil(1, a.rate(routers)))
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -36,13 +36,13 @@
 		return nil
 	}
 	if !d.suspects.hasAny() || !d.suspects.isSuspect(d.x.fingerprint()) {
-		canaries := rollout.Few(d.servers.OnTrial(service, d.halls), d.isWarm)
+		canaries := rollout.CanaryServers(d.servers.OnTrial(service, d.halls), d.isWarm)
 		if l := d.placeOnBest(canaries, d.tried); l != nil && d.tryAdmit(l, &deniedServers{}) {
 			d.metrics.canaryRequests.Inc()
 			return l
 		}
 	}
-	d.sampler.Undo(service)
+	d.sampler.CancelSample(service)
 	return nil
 }
 
@@ -55,32 +55,32 @@
 // recordOutcome records the outcome of an attempt for rollouts. What the caller, a connection that
 // could not be opened or a full server caused says nothing about a version.
 func (d *dispatch) recordOutcome(l *place.Placement, a *upstream.Response, err error) {
-	if !d.sampler.Going(l.Record.GetService()) {
+	if !d.sampler.InProgress(l.Record.GetService()) {
 		return
 	}
 	var f *upstream.Failure
 	if errors.As(err, &f) && f.Verdict == sumachead.NotRun && a == nil {
 		return // it reached no server
 	}
-	s := rollout.Sample{
+	s := rollout.Outcome{
 		Service: l.Record.GetService(), Route: d.x.route.GetName(), Server: l.Record.GetId(), Version: l.Record.GetSoftware(),
 	}
 	switch {
 	case !d.isRepresentative(l) || f != nil && f.Verdict == sumachead.NotRun:
 	case err == nil:
 		s.Counts, s.Failed = true, a.Head.Failed
-		s.First, s.Pace = d.normalizedFirstByte(l, d.x.firstAt), d.meanEventInterval(time.Now())
+		s.FirstEvent, s.EventInterval = d.normalizedFirstByte(l, d.x.firstAt), d.meanEventInterval(time.Now())
 	case f == nil || d.ctx.Err() != nil:
 		// It took at least this long, which is known to be too long only beyond the objective.
 		s.Counts = d.x.firstAt.IsZero() && time.Since(d.sentAt) > d.x.firstEventObjective()
-		s.First = d.normalizedFirstByte(l, time.Now())
+		s.FirstEvent = d.normalizedFirstByte(l, time.Now())
 	case f.ConnectionLost():
 		go d.recordBroken(l, s)
 		return
 	default:
 		s.Counts, s.Failed = true, true
 	}
-	d.sampler.Note(s)
+	d.sampler.Record(s)
 }
 
 // isRepresentative reports whether the outcome of an attempt says something about its server's
@@ -91,9 +91,9 @@
 
 // recordBroken records an outcome whose server broke off its response, once it is known whether the
 // server has crashed.
-func (d *dispatch) recordBroken(l *place.Placement, s rollout.Sample) {
-	s.Counts, s.Failed, s.Ended = true, true, d.crashes.hasCrashed(l.Record)
-	d.sampler.Note(s)
+func (d *dispatch) recordBroken(l *place.Placement, s rollout.Outcome) {
+	s.Counts, s.Failed, s.Crashed = true, true, d.crashes.hasCrashed(l.Record)
+	d.sampler.Record(s)
 }
 
 // normalizedFirstByte returns how long a response took to begin, as if its server had had no tokens
@@ -119,7 +119,7 @@
 // reportOutcomes sends the reports that are due.
 func (g *Gateway) reportOutcomes(ctx context.Context) {
 	madeAt := boottime.Clock{}.Now()
-	for _, r := range g.sampler.Due() {
+	for _, r := range g.sampler.DueReports() {
 		go g.reportOutcome(ctx, r, madeAt)
 	}
 }
@@ -132,5 +132,5 @@
 	if err != nil {
 		g.servedLog.Info(g.Log, "Failed to report canary outcomes to the leading keeper.", "service", r.GetService(), "error", err)
 	}
-	g.sampler.Take(r, grants, madeAt)
+	g.sampler.HandleReply(r, grants, madeAt)
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -60,9 +60,9 @@
 
 	// tracker counts the crashes that this router has seen: it decides which successes to report,
 	// and which requests to refuse while no keeper is reachable.
-	tracker blame.Docket
+	tracker blame.Tracker
 	// served are the requests that have recently succeeded here.
-	served blame.Served
+	served blame.RecentSuccesses
 
 	mu sync.Mutex // guards the fields below
 	// local are the standings according to tracker.
@@ -89,17 +89,17 @@
 }
 
 // hasAny reports whether crashes are recorded against any request, here or in the fleet.
-func (s *suspects) hasAny() bool { return s.Table.Held() > 0 || s.tracker.Len() > 0 }
+func (s *suspects) hasAny() bool { return s.Table.ActiveCount() > 0 || s.tracker.Len() > 0 }
 
 // isSuspect reports whether crashes are recorded against a request, here or in the fleet.
 func (s *suspects) isSuspect(f sumachead.Fingerprint) bool {
-	return s.tracker.Accused(f) || s.standing(f) != wire.Standing_STANDING_CLEARED
+	return s.tracker.HasCrashes(f) || s.standing(f) != wire.Standing_STANDING_CLEARED
 }
 
 // standing returns the standing of a request according to the keepers or, if these know nothing
 // about it, according to this router.
 func (s *suspects) standing(f sumachead.Fingerprint) wire.Standing {
-	if st, ok := s.Table.Known(f); ok {
+	if st, ok := s.Table.Standing(f); ok {
 		return st
 	}
 	s.mu.Lock()
@@ -112,7 +112,7 @@
 func (s *suspects) enqueue(added crashBatch) (done <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.local.Apply(&wire.Suspects{Suspects: s.tracker.Note(added.toWire(s.Node), s.local.Standing, time.Now())})
+	s.local.Apply(&wire.Suspects{Suspects: s.tracker.HandleReport(added.toWire(s.Node), s.local.Standing, time.Now())})
 	if s.pending == nil {
 		s.pending = &crashBatch{done: make(chan struct{})}
 		go s.sendBatch(s.pending)
@@ -213,7 +213,7 @@
 	}
 	l := &crashCheck{done: make(chan struct{})}
 	now := time.Now()
-	e := observedCrash{d.x.fingerprint(), sumachead.ServerID(r.GetId()), now, d.suspects.served.Has(d.x.workspace(), d.x.request, now)}
+	e := observedCrash{d.x.fingerprint(), sumachead.ServerID(r.GetId()), now, d.suspects.served.Contains(d.x.workspace(), d.x.request, now)}
 	fields := append(d.x.fields(), "fingerprint", e.fingerprint.String(), "ran", time.Since(d.sentAt))
 	go func() {
 		defer close(l.done)
@@ -298,7 +298,7 @@
 // reported before.
 func (d *dispatch) reportTrialResult(err error) {
 	if err == nil {
-		d.suspects.served.Note(d.x.workspace(), d.x.request, time.Now())
+		d.suspects.served.Add(d.x.workspace(), d.x.request, time.Now())
 	}
 	switch {
 	case err == nil && d.suspects.hasAny() && d.suspects.isSuspect(d.x.fingerprint()):
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -16,7 +16,7 @@
 // fakeKeeper is the keeper's side of tracking requests that crash servers. Tests connect gateways
 // to it.
 type fakeKeeper struct {
-	tracker blame.Docket
+	tracker blame.Tracker
 	mu      sync.Mutex // guards list
 	list    blame.List
 }
@@ -26,13 +26,13 @@
 	g.suspects.Report = func(_ context.Context, r *wire.EndsReport) (*wire.Suspects, error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.list.Apply(&wire.Suspects{Suspects: c.tracker.Note(r, c.list.Standing, time.Now())})
+		c.list.Apply(&wire.Suspects{Suspects: c.tracker.HandleReport(r, c.list.Standing, time.Now())})
 		return c.list.Since(0), nil
 	}
 	g.suspects.Try = func(_ context.Context, r *wire.TrialRequest) (*wire.TrialReply, error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return &wire.TrialReply{Trial: c.tracker.Try(r, c.list.Standing, time.Now())}, nil
+		return &wire.TrialReply{Trial: c.tracker.DecideTrial(r, c.list.Standing, time.Now())}, nil
 	}
 }
 
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -68,7 +68,7 @@
 	s.mergeLimit(id, r.GetLimit())
 	limit := s.limits.Get(id)
 	b := warmup.Bound{Rate: r.GetRate(), Burst: r.GetBurst()}
-	granted, retryAfter := s.admit(r.GetServer(), b.And(ratelimit.BoundOf(limit.Rate)), r.GetUrgency())
+	granted, retryAfter := s.admit(r.GetServer(), b.Intersect(ratelimit.BoundOf(limit.Rate)), r.GetUrgency())
 	reply.Granted, reply.AgainMicros = granted, retryAfter.Microseconds()
 	reply.Limit = limit.ToWire(boottime.Clock{}.Now())
 	return nil
@@ -77,7 +77,7 @@
 func (s *Service) admit(server string, b warmup.Bound, urgency uint32) (granted bool, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.permits.Since = s.Since
+	s.permits.StartedAt = s.Since
 	return s.permits.Admit(server, b, urgency, time.Now())
 }
 
--- a/internal/place/limits_test.go
+++ b/internal/place/limits_test.go
@@ -23,7 +23,7 @@
 // requests per second. With larger, smaller requests leave these engines to larger ones.
 func (f *simulatedFleet) simulateLimits(rate float64, duration time.Duration, engines int, limit sumachead.RequestRate, larger bool) (p limitResult) {
 	end := f.now.Add(duration)
-	permits := &ratelimit.Permits{Since: f.now.Add(-time.Minute)}
+	permits := &ratelimit.Permits{StartedAt: f.now.Add(-time.Minute)}
 	limited := make(map[sumachead.ServerID]bool)
 	for _, r := range f.servers[:engines] {
 		limited[sumachead.ServerID(r.GetId())] = true
--- a/internal/ratelimit/permits.go
+++ b/internal/ratelimit/permits.go
@@ -25,7 +25,7 @@
 // safe for concurrent use. Set the exported field before the first call.
 type Permits struct {
 	// StartedAt is when this process started; permits of its previous incarnation may still be in use.
-	Since time.Time
+	StartedAt time.Time
 
 	gates map[string]*gate
 }
@@ -49,7 +49,7 @@
 	g := p.gates[server]
 	if g == nil {
 		p.expire(now)
-		g = &gate{Gate: warmup.NewGate(p.Since, b, now)}
+		g = &gate{Gate: warmup.NewGate(p.StartedAt, b, now)}
 		p.gates[server] = g
 	}
 	g.usedAt = now
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -92,7 +92,7 @@
 	var p result
 	begun := time.Now()
 	b := BoundOf(l.limit)
-	gate := &Permits{Since: begun.Add(-time.Minute)}
+	gate := &Permits{StartedAt: begun.Add(-time.Minute)}
 	var restarts []time.Duration
 	for range l.restarts {
 		restarts = append(restarts, time.Duration(r.Int64N(int64(l.duration))))
@@ -121,10 +121,10 @@
 			continue
 		}
 		if len(restarts) > 0 && x.at >= restarts[0] {
-			gate = &Permits{Since: begun.Add(restarts[0] + 300*time.Millisecond)}
+			gate = &Permits{StartedAt: begun.Add(restarts[0] + 300*time.Millisecond)}
 			restarts = restarts[1:]
 		}
-		if now.Before(gate.Since) {
+		if now.Before(gate.StartedAt) {
 			asks.retry(x, 200*time.Millisecond)
 			continue
 		}
@@ -135,7 +135,7 @@
 		p.messages++
 		granted, retryAfter := gate.Admit("a", b, 0, now)
 		if granted {
-			p.sends = append(p.sends, x.at+time.Duration(r.Int64N(int64(warmup.GrantLives))))
+			p.sends = append(p.sends, x.at+time.Duration(r.Int64N(int64(warmup.GrantTTL))))
 			continue
 		}
 		denied[x.router] = x.at + retryAfter
@@ -196,7 +196,7 @@
 	for asks.hasNext() {
 		x := asks.next()
 		b := &parts[x.router]
-		b.Fill(rate, min(rate, 1), begun.Add(x.at))
+		b.Refill(rate, min(rate, 1), begun.Add(x.at))
 		if b.Take(min(rate, 1)) {
 			p.sends = append(p.sends, x.at)
 			continue
--- a/internal/rollout/book.go
+++ b/internal/rollout/book.go
@@ -22,7 +22,7 @@
 // log is applied. The replicated state depends on no clock; the ages of orders are measured by the
 // clock of this process. A Store is not safe for concurrent use. Set the exported field before the
 // first call.
-type Book struct {
+type Store struct {
 	Clock sumachead.Clock
 
 	// revision counts the changes that other processes need to know.
@@ -37,7 +37,7 @@
 
 // Start starts a rollout, unless the service's rollout has changed since the order was made or is
 // still in progress.
-func (b *Book) Order(o *wire.RolloutOrder) *wire.RolloutReply {
+func (b *Store) Start(o *wire.RolloutOrder) *wire.RolloutReply {
 	old := b.rollouts[o.GetService()]
 	if old.GetRevision() != o.GetAgainst() || !Ended(old) {
 		return &wire.RolloutReply{}
@@ -68,7 +68,7 @@
 
 // Advance moves a rollout to its next phase, unless it is in that or a later one. A rollout that has
 // ended doesn't change any more.
-func (b *Book) Step(s *wire.RolloutStep) *wire.RolloutReply {
+func (b *Store) Advance(s *wire.RolloutStep) *wire.RolloutReply {
 	old := b.rollouts[s.GetService()]
 	if old.GetOrder() != s.GetOrder() || Ended(old) || s.GetPhase() <= old.GetPhase() {
 		return &wire.RolloutReply{}
@@ -85,7 +85,7 @@
 
 // RaiseAllowance raises the number of requests that may be sent to the target version on trial. It
 // keeps the revision, since only a later leader needs to know the allowance.
-func (b *Book) Allow(a *wire.RolloutAllowance) *wire.RolloutReply {
+func (b *Store) RaiseAllowance(a *wire.RolloutAllowance) *wire.RolloutReply {
 	old := b.rollouts[a.GetService()]
 	if old.GetOrder() != a.GetOrder() || Ended(old) || a.GetAllowed() < old.GetAllowed() {
 		return &wire.RolloutReply{}
@@ -97,7 +97,7 @@
 }
 
 // put replaces a service's rollout.
-func (b *Book) put(r *wire.Rollout) {
+func (b *Store) put(r *wire.Rollout) {
 	if b.rollouts == nil {
 		b.rollouts = make(map[string]*wire.Rollout)
 		b.orderedAt = make(map[string]sumachead.BootTime)
@@ -128,22 +128,22 @@
 }
 
 // StartReplay starts the interval in which old log entries may be applied.
-func (b *Book) Open() { b.replayStartedAt = b.Clock.Now() }
+func (b *Store) StartReplay() { b.replayStartedAt = b.Clock.Now() }
 
 // Get returns the newest rollout of a service, nil for none, which must not be modified.
-func (b *Book) Get(service string) *wire.Rollout { return b.rollouts[service] }
+func (b *Store) Get(service string) *wire.Rollout { return b.rollouts[service] }
 
 // Times returns when the newest order of a service was accepted, and its deadline.
-func (b *Book) Times(service string) (ordered, deadline sumachead.BootTime) {
+func (b *Store) Times(service string) (ordered, deadline sumachead.BootTime) {
 	ordered = b.orderedAt[service]
 	return ordered, ordered.Add(orderDuration(b.rollouts[service]))
 }
 
 // Revision returns the revision of the newest change.
-func (b *Book) Revision() uint64 { return b.revision }
+func (b *Store) Revision() uint64 { return b.revision }
 
 // SnapshotWithAges returns all rollouts with their ages.
-func (b *Book) Tell() *wire.Rollouts {
+func (b *Store) SnapshotWithAges() *wire.Rollouts {
 	s := b.Snapshot()
 	now := b.Clock.Now()
 	for i, r := range s.GetRollouts() {
@@ -154,7 +154,7 @@
 }
 
 // Snapshot returns the replicated state; the messages in it must not be modified.
-func (b *Book) Snapshot() *wire.Rollouts {
+func (b *Store) Snapshot() *wire.Rollouts {
 	s := &wire.Rollouts{Revision: b.revision}
 	for _, r := range b.rollouts {
 		s.Rollouts = append(s.Rollouts, r)
@@ -164,7 +164,7 @@
 }
 
 // Restore replaces the state with a snapshot.
-func (b *Book) Restore(s *wire.Rollouts) {
+func (b *Store) Restore(s *wire.Rollouts) {
 	old := *b
 	b.revision, b.rollouts, b.orderedAt = s.GetRevision(), nil, nil
 	for _, r := range s.GetRollouts() {
--- a/internal/rollout/book_test.go
+++ b/internal/rollout/book_test.go
@@ -13,10 +13,10 @@
 )
 
 // newStore returns the store of a process that started long ago.
-func newStore() (*Book, *fakeClock) {
+func newStore() (*Store, *fakeClock) {
 	c := &fakeClock{now: 1}
-	b := &Book{Clock: c}
-	b.Open()
+	b := &Store{Clock: c}
+	b.StartReplay()
 	c.now = c.now.Add(2 * replayTimeout)
 	return b, c
 }
@@ -61,9 +61,9 @@
 			for _, m := range tt.do {
 				switch x := m.(type) {
 				case *wire.RolloutOrder:
-					reply = b.Order(x)
+					reply = b.Start(x)
 				case *wire.RolloutStep:
-					reply = b.Step(x)
+					reply = b.Advance(x)
 				}
 			}
 			got := b.Get("s")
@@ -81,10 +81,10 @@
 	end := func(target string, p wire.RolloutPhase) {
 		t.Helper()
 		old := b.Get("s")
-		if !b.Order(&wire.RolloutOrder{Service: "s", Target: target, Against: old.GetRevision()}).GetTaken() {
+		if !b.Start(&wire.RolloutOrder{Service: "s", Target: target, Against: old.GetRevision()}).GetTaken() {
 			t.Fatalf("the order for %s was not accepted", target)
 		}
-		if !b.Step(&wire.RolloutStep{Service: "s", Order: b.Get("s").GetOrder(), Phase: p}).GetTaken() {
+		if !b.Advance(&wire.RolloutStep{Service: "s", Order: b.Get("s").GetOrder(), Phase: p}).GetTaken() {
 			t.Fatalf("the end of %s was not accepted", target)
 		}
 	}
@@ -123,11 +123,11 @@
 func TestStoreIsRestored(t *testing.T) {
 	b, c := newStore()
 	start := time.Now()
-	b.Order(&wire.RolloutOrder{
+	b.Start(&wire.RolloutOrder{
 		Service: "s", Target: "v2", OrderedUnixMillis: start.UnixMilli(), DeadlineUnixMillis: start.Add(time.Minute).UnixMilli(),
 	})
-	b.Allow(&wire.RolloutAllowance{Service: "s", Order: 1, Allowed: 7, Reached: 90})
-	b.Step(&wire.RolloutStep{Service: "s", Order: 1, Phase: wire.RolloutPhase_ROLLOUT_PHASE_MOVING, Replaced: []string{"", "v1"}})
+	b.RaiseAllowance(&wire.RolloutAllowance{Service: "s", Order: 1, Allowed: 7, Reached: 90})
+	b.Advance(&wire.RolloutStep{Service: "s", Order: 1, Phase: wire.RolloutPhase_ROLLOUT_PHASE_MOVING, Replaced: []string{"", "v1"}})
 	c.now = c.now.Add(time.Second)
 	data, err := proto.Marshal(b.Snapshot())
 	if err != nil {
@@ -154,10 +154,10 @@
 // or their deadlines would move into the future.
 func TestReplayedOrderKeepsItsAge(t *testing.T) {
 	c := &fakeClock{now: 1}
-	b := &Book{Clock: c}
-	b.Open()
+	b := &Store{Clock: c}
+	b.StartReplay()
 	at := time.Now().Add(-5 * time.Second)
-	b.Order(&wire.RolloutOrder{
+	b.Start(&wire.RolloutOrder{
 		Service: "s", Target: "v2", OrderedUnixMillis: at.UnixMilli(), DeadlineUnixMillis: at.Add(8 * time.Second).UnixMilli(),
 	})
 	_, deadline := b.Times("s")
--- a/internal/rollout/exposure.go
+++ b/internal/rollout/exposure.go
@@ -87,7 +87,7 @@
 
 // NextAllowance returns the allowance to commit now, given the bounds and the fraction of the trial
 // that has passed; ok is false if the increase is not worth a commit.
-func (x *Exposure) Wanted(b Bounds, passed float64) (allowed int64, ok bool) {
+func (x *Exposure) NextAllowance(b Bounds, passed float64) (allowed int64, ok bool) {
 	slack := initialAllowance + (slackFactor*b.Slack-initialAllowance)*min(max(passed, 0), 1)
 	allowed = int64(shareFactor*b.Share*float64(x.reached) + min(slack, slackFactor*b.Slack))
 	minStep := int64(minAllowanceStep)
@@ -101,7 +101,7 @@
 func (x *Exposure) Reached() int64 { return x.reached }
 
 // SetCommitted sets the allowance that has been committed.
-func (x *Exposure) Committed(allowed int64) { x.allowed = max(x.allowed, allowed) }
+func (x *Exposure) SetCommitted(allowed int64) { x.allowed = max(x.allowed, allowed) }
 
 // Available returns how many requests may be granted now.
 func (x *Exposure) Available() int64 { return max(x.allowed-x.granted, 0) }
--- a/internal/rollout/few.go
+++ b/internal/rollout/few.go
@@ -19,7 +19,7 @@
 
 // CanaryServers returns the servers of the target version that receive the sampled requests, out of
 // those that are usable. All routers choose the same ones.
-func Few(servers []*wire.ServerRecord, usable func(*wire.ServerRecord) bool) []*wire.ServerRecord {
+func CanaryServers(servers []*wire.ServerRecord, usable func(*wire.ServerRecord) bool) []*wire.ServerRecord {
 	out := slices.Clone(servers)
 	out = slices.DeleteFunc(out, func(r *wire.ServerRecord) bool { return !usable(r) })
 	slices.SortFunc(out, func(a, b *wire.ServerRecord) int { return cmp.Compare(idHash(a), idHash(b)) })
--- a/internal/rollout/played_test.go
+++ b/internal/rollout/played_test.go
@@ -64,8 +64,8 @@
 	faults   faults
 	bounds   Bounds
 
-	store      *Book
-	controller *Watch
+	store      *Store
+	controller *Controller
 	targets    []*wire.ServerRecord
 	routers    []*simulatedRouter
 
@@ -103,10 +103,10 @@
 		rand: rand.New(rand.NewPCG(seed, 1)), clock: &fakeClock{now: sumachead.BootTime(time.Hour)}, routes: routes, servers: servers,
 		duration: lasts, bounds: Bounds{Share: 0.1, Slack: 50}, perServer: make(map[string][]time.Duration),
 	}
-	p.store = &Book{Clock: p.clock}
-	p.store.Open()
+	p.store = &Store{Clock: p.clock}
+	p.store.StartReplay()
 	p.clock.now = p.clock.now.Add(2 * replayTimeout)
-	p.store.Order(&wire.RolloutOrder{Service: "s", Target: "v2", DeadlineUnixMillis: lasts.Milliseconds()})
+	p.store.Start(&wire.RolloutOrder{Service: "s", Target: "v2", DeadlineUnixMillis: lasts.Milliseconds()})
 	for i := range servers {
 		p.targets = append(p.targets, &wire.ServerRecord{Id: fmt.Sprintf("new-%d", i), Service: "s", Software: "v2"})
 	}
@@ -121,7 +121,7 @@
 	r := &simulatedRouter{Sampler: &Sampler{
 		Clock: p.clock, Node: sumachead.NodeID(fmt.Sprintf("router-%d", i)), Boot: sumachead.BootID(fmt.Sprint(n)),
 	}, incarnation: n}
-	r.Follow(p.store.Tell())
+	r.Update(p.store.SnapshotWithAges())
 	return r
 }
 
@@ -129,14 +129,14 @@
 func (p *simulation) changeLeader() {
 	r := p.store.Get("s")
 	ordered, deadline := p.store.Times("s")
-	p.controller = &Watch{
-		Service: "s", Order: r.GetOrder(), Ordered: ordered, Deadline: deadline, Longest: 2 * time.Second, Bounds: p.bounds,
+	p.controller = &Controller{
+		Service: "s", Order: r.GetOrder(), OrderedAt: ordered, Deadline: deadline, MaxRequestTime: 2 * time.Second, Bounds: p.bounds,
 		Exposure: NewExposure(r),
 	}
 }
 
 // sinceOrder returns the time since the order.
-func (p *simulation) sinceOrder() time.Duration { return p.clock.now.Sub(p.controller.Ordered) }
+func (p *simulation) sinceOrder() time.Duration { return p.clock.now.Sub(p.controller.OrderedAt) }
 
 // run runs the simulation until a second after the deadline and returns the last phase.
 func (p *simulation) run() wire.RolloutPhase {
@@ -191,18 +191,18 @@
 // request simulates one request.
 func (p *simulation) request(r *simulatedRouter, x simulatedRoute) {
 	p.reached++
-	s := Sample{Service: "s", Route: x.name, Version: "v1", Server: "old", Counts: true, First: p.randLatency(x)}
+	s := Outcome{Service: "s", Route: x.name, Version: "v1", Server: "old", Counts: true, FirstEvent: p.randLatency(x)}
 	s.Failed = p.rand.Float64() < x.failureShare
 	if r.Draw("s", x.name) {
-		few := Few(p.targets, func(*wire.ServerRecord) bool { return true })
+		few := CanaryServers(p.targets, func(*wire.ServerRecord) bool { return true })
 		s.Server, s.Version = few[p.rand.IntN(len(few))].GetId(), "v2"
 		p.serveCanary(&s, x)
 	}
-	r.Note(s)
+	r.Record(s)
 }
 
 // serveCanary simulates a request at the target version.
-func (p *simulation) serveCanary(s *Sample, x simulatedRoute) {
+func (p *simulation) serveCanary(s *Outcome, x simulatedRoute) {
 	p.exposed++
 	if p.fiftiethAt > 0 && p.sinceOrder() > p.fiftiethAt+rollbackTimeout {
 		p.lateExposed++
@@ -213,13 +213,13 @@
 			p.fiftiethAt = p.sinceOrder()
 		}
 		if p.defect.slowdown > 0 {
-			s.First = time.Duration(float64(s.First) * p.defect.slowdown)
+			s.FirstEvent = time.Duration(float64(s.FirstEvent) * p.defect.slowdown)
 		} else {
 			s.Failed = true
 		}
 	}
 	for i := range p.faults.flakyServers {
-		few := Few(p.targets, func(*wire.ServerRecord) bool { return true })
+		few := CanaryServers(p.targets, func(*wire.ServerRecord) bool { return true })
 		if s.Server == few[i].GetId() {
 			s.Failed = s.Failed || p.rand.IntN(2) == 0
 		}
@@ -227,7 +227,7 @@
 }
 
 // isDefective reports whether the defect of the version may affect a request.
-func (p *simulation) isDefective(s *Sample, x simulatedRoute) bool {
+func (p *simulation) isDefective(s *Outcome, x simulatedRoute) bool {
 	now := p.sinceOrder()
 	recent := p.perServer[s.Server]
 	for len(recent) > 0 && now-recent[0] > time.Second {
@@ -253,14 +253,14 @@
 // lost.
 func (p *simulation) exchange(r *simulatedRouter) {
 	if p.clock.now < r.partitionedUntil {
-		for _, x := range r.Due() {
-			r.Take(x, nil, p.clock.now)
+		for _, x := range r.DueReports() {
+			r.HandleReply(x, nil, p.clock.now)
 		}
 		return
 	}
-	r.Follow(p.store.Tell())
+	r.Update(p.store.SnapshotWithAges())
 	madeAt := p.clock.now
-	for _, x := range r.Due() {
+	for _, x := range r.DueReports() {
 		var g *wire.RolloutGrants
 		if p.rand.Float64() >= p.faults.lost {
 			g = p.reply(x)
@@ -272,7 +272,7 @@
 				g = nil
 			}
 		}
-		r.Take(x, g, madeAt)
+		r.HandleReply(x, g, madeAt)
 	}
 }
 
@@ -281,7 +281,7 @@
 	if Ended(p.store.Get("s")) {
 		return nil
 	}
-	reply, stale := p.controller.Take(proto.CloneOf(x), p.store.Get("s"))
+	reply, stale := p.controller.HandleReport(proto.CloneOf(x), p.store.Get("s"))
 	if reply != nil || stale {
 		return reply
 	}
@@ -293,7 +293,7 @@
 		}
 		return false
 	}
-	return p.controller.Answer(x, notIdempotent, len(p.routers), p.clock.now)
+	return p.controller.GrantRequests(x, notIdempotent, len(p.routers), p.clock.now)
 }
 
 // step has the leader process delayed reports and commit the next step or allowance.
@@ -302,7 +302,7 @@
 	if Ended(r) {
 		return
 	}
-	f := &Fleet{Target: uint32(p.servers), Others: uint32(p.servers), Replaced: []string{"v1"}, Known: true}
+	f := &ServiceState{TargetSlots: uint32(p.servers), OtherSlots: uint32(p.servers), ReplacedVersions: []string{"v1"}, Complete: true}
 	for _, x := range p.routers {
 		f.Routers = append(f.Routers, string(x.Node))
 	}
@@ -311,14 +311,14 @@
 		p.delayed = p.delayed[1:]
 	}
 	p.overcounted = max(p.overcounted, p.controller.Exposure.Reached()-p.reached)
-	p.controller.Exposure.Committed(r.GetAllowed())
-	if s := p.controller.Next(r, f, p.clock.now); s != nil {
-		p.store.Step(s)
+	p.controller.Exposure.SetCommitted(r.GetAllowed())
+	if s := p.controller.NextStep(r, f, p.clock.now); s != nil {
+		p.store.Advance(s)
 		p.endedAfter = p.sinceOrder()
 		return
 	}
-	if allowed, ok := p.controller.Exposure.Wanted(p.bounds, p.controller.Passed(p.clock.now)); ok && r.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL {
-		p.store.Allow(&wire.RolloutAllowance{Service: "s", Order: r.GetOrder(), Allowed: allowed, Reached: p.controller.Exposure.Reached()})
+	if allowed, ok := p.controller.Exposure.NextAllowance(p.bounds, p.controller.TrialProgress(p.clock.now)); ok && r.GetPhase() == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL {
+		p.store.RaiseAllowance(&wire.RolloutAllowance{Service: "s", Order: r.GetOrder(), Allowed: allowed, Reached: p.controller.Exposure.Reached()})
 	}
 }
 
--- a/internal/rollout/sampler.go
+++ b/internal/rollout/sampler.go
@@ -66,7 +66,7 @@
 }
 
 // Update updates the sampler to a newer state of all rollouts; older states are ignored.
-func (s *Sampler) Follow(r *wire.Rollouts) {
+func (s *Sampler) Update(r *wire.Rollouts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.GetRevision() <= s.revision {
@@ -139,7 +139,7 @@
 
 // CancelSample gives back the grant that Draw has spent for a request that was not sent to the target
 // version.
-func (s *Sampler) Undo(service string) {
+func (s *Sampler) CancelSample(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t := s.orders[service]; t != nil {
@@ -168,7 +168,7 @@
 }
 
 // BeginRequest counts a request as in flight at a version until end is called.
-func (s *Sampler) Begin(service, version string) (end func()) {
+func (s *Sampler) BeginRequest(service, version string) (end func()) {
 	v := serviceVersion{service, version}
 	s.addOpen(v, 1)
 	return func() { s.addOpen(v, -1) }
@@ -187,7 +187,7 @@
 }
 
 // Outcome is the outcome of a request that reached a server.
-type Sample struct {
+type Outcome struct {
 	Service, Route string
 	// Server and Version are the ID and the version of the server.
 	Server, Version string
@@ -196,14 +196,14 @@
 	// Failed: it responded with an error of its own, or with an invalid response.
 	Failed bool
 	// Crashed: the server crashed while running the request.
-	Ended bool
+	Crashed bool
 	// FirstEvent is the time until the response began, and EventInterval the time between its events;
 	// 0 for none.
-	First, Pace time.Duration
+	FirstEvent, EventInterval time.Duration
 }
 
 // Record records the outcome of a request that reached a server.
-func (s *Sampler) Note(x Sample) {
+func (s *Sampler) Record(x Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.orders[x.Service]
@@ -216,7 +216,7 @@
 		by.server = x.Server
 	}
 	switch {
-	case x.Ended && by.server != "":
+	case x.Crashed && by.server != "":
 		t.crashed[by.server] = true
 	case x.Counts:
 		t.record(by, x)
@@ -227,7 +227,7 @@
 }
 
 // record counts a response.
-func (t *activeOrder) record(by outcomeKey, x Sample) {
+func (t *activeOrder) record(by outcomeKey, x Outcome) {
 	a := t.outcomes[by]
 	if a == nil {
 		a = &outcomes{}
@@ -238,16 +238,16 @@
 	case x.Failed:
 		a.failed++
 		return
-	case x.First > 0:
-		a.first.add(x.First)
+	case x.FirstEvent > 0:
+		a.first.add(x.FirstEvent)
 	}
-	if x.Pace > 0 {
-		a.intervals.add(x.Pace)
+	if x.EventInterval > 0 {
+		a.intervals.add(x.EventInterval)
 	}
 }
 
 // DueReports returns the reports that are due; each is pending until HandleReply is called for it.
-func (s *Sampler) Due() []*wire.RolloutReport {
+func (s *Sampler) DueReports() []*wire.RolloutReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*wire.RolloutReport
@@ -293,7 +293,7 @@
 
 // HandleReply processes the reply to the newest report, which was made at a time; nil if there was no
 // reply.
-func (s *Sampler) Take(r *wire.RolloutReport, g *wire.RolloutGrants, madeAt sumachead.BootTime) {
+func (s *Sampler) HandleReply(r *wire.RolloutReport, g *wire.RolloutGrants, madeAt sumachead.BootTime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.orders[r.GetService()]
@@ -314,7 +314,7 @@
 }
 
 // InProgress reports whether a rollout of a service is in progress.
-func (s *Sampler) Going(service string) bool {
+func (s *Sampler) InProgress(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.orders[service] != nil
--- a/internal/rollout/sampler_test.go
+++ b/internal/rollout/sampler_test.go
@@ -14,11 +14,11 @@
 func newSampler(g *wire.RolloutGrants) (*Sampler, *fakeClock) {
 	c := &fakeClock{now: 1}
 	s := &Sampler{Clock: c, Node: "r", Boot: "b"}
-	s.Follow(&wire.Rollouts{Revision: 1, Rollouts: []*wire.Rollout{{
+	s.Update(&wire.Rollouts{Revision: 1, Rollouts: []*wire.Rollout{{
 		Service: "s", Target: "v2", Revision: 1, Order: 1, DeadlineUnixMillis: time.Minute.Milliseconds(),
 	}}})
-	for _, r := range s.Due() {
-		s.Take(r, g, c.now)
+	for _, r := range s.DueReports() {
+		s.HandleReply(r, g, c.now)
 	}
 	return s, c
 }
@@ -62,15 +62,15 @@
 
 func TestReportHasTotals(t *testing.T) {
 	s, c := newSampler(&wire.RolloutGrants{Requests: 4, ValidMillis: 1000})
-	end := s.Begin("s", "v1")
+	end := s.BeginRequest("s", "v1")
 	draw(s, "a", "a")
-	s.Note(Sample{Service: "s", Route: "a", Server: "new", Version: "v2", Counts: true, Failed: true})
-	s.Note(Sample{Service: "s", Route: "a", Server: "old", Version: "v1", Counts: true, First: time.Millisecond})
-	s.Note(Sample{Service: "s", Route: "a", Server: "old", Version: "v1"})
-	s.Note(Sample{Service: "s", Route: "a", Server: "gone", Version: "v2", Counts: true, Failed: true, Ended: true})
-	s.Undo("s")
+	s.Record(Outcome{Service: "s", Route: "a", Server: "new", Version: "v2", Counts: true, Failed: true})
+	s.Record(Outcome{Service: "s", Route: "a", Server: "old", Version: "v1", Counts: true, FirstEvent: time.Millisecond})
+	s.Record(Outcome{Service: "s", Route: "a", Server: "old", Version: "v1"})
+	s.Record(Outcome{Service: "s", Route: "a", Server: "gone", Version: "v2", Counts: true, Failed: true, Crashed: true})
+	s.CancelSample("s")
 	c.now = c.now.Add(time.Second)
-	s.Follow(&wire.Rollouts{Revision: 2, Rollouts: []*wire.Rollout{{
+	s.Update(&wire.Rollouts{Revision: 2, Rollouts: []*wire.Rollout{{
 		Service: "s", Target: "v2", Revision: 2, Order: 1, Phase: wire.RolloutPhase_ROLLOUT_PHASE_MOVING, Replaced: []string{"v1"},
 	}}})
 	want := []*wire.RolloutReport{{
@@ -82,11 +82,11 @@
 			{Route: "a", Server: "new", Answers: 1, Failed: 1},
 		},
 	}}
-	if diff := cmp.Diff(want, s.Due(), protocmp.Transform()); diff != "" {
+	if diff := cmp.Diff(want, s.DueReports(), protocmp.Transform()); diff != "" {
 		t.Errorf("reports (-want +got):\n%s", diff)
 	}
 	end()
-	if got := s.Due(); got != nil {
+	if got := s.DueReports(); got != nil {
 		t.Errorf("a second report is due while one is pending: %v", got)
 	}
 }
@@ -94,11 +94,11 @@
 // A late message with an older state must not restart an order that has ended.
 func TestEndedOrderIsNotRestarted(t *testing.T) {
 	s, _ := newSampler(&wire.RolloutGrants{Requests: 4, ValidMillis: 1000})
-	s.Follow(&wire.Rollouts{Revision: 2, Rollouts: []*wire.Rollout{{
+	s.Update(&wire.Rollouts{Revision: 2, Rollouts: []*wire.Rollout{{
 		Service: "s", Target: "v2", Revision: 2, Order: 1, Phase: wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 	}}})
-	s.Follow(&wire.Rollouts{Revision: 1, Rollouts: []*wire.Rollout{{Service: "s", Target: "v2", Revision: 1, Order: 1}}})
-	if s.Going("s") || s.Draw("s", "a") {
+	s.Update(&wire.Rollouts{Revision: 1, Rollouts: []*wire.Rollout{{Service: "s", Target: "v2", Revision: 1, Order: 1}}})
+	if s.InProgress("s") || s.Draw("s", "a") {
 		t.Error("a request is sampled after the order has ended")
 	}
 }
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -34,14 +34,14 @@
 
 // Controller holds what the leading keeper knows of one order and decides its next step. It is not
 // safe for concurrent use.
-type Watch struct {
+type Controller struct {
 	Service string
 	Order   uint64
 	// OrderedAt and Deadline are the times of the order by the clock of this host.
-	Ordered, Deadline sumachead.BootTime
+	OrderedAt, Deadline sumachead.BootTime
 	// MaxRequestTime is how long a request of the service may take.
-	Longest time.Duration
-	Bounds  Bounds
+	MaxRequestTime time.Duration
+	Bounds         Bounds
 
 	Exposure *Exposure
 	results  Results
@@ -58,19 +58,19 @@
 
 // TrialDeadline returns when the trial ends. It leaves only the time for the move, since some
 // versions fail only after a while.
-func (w *Watch) DecideBy() sumachead.BootTime {
-	move := min(w.Deadline.Sub(w.Ordered)/maxMoveDivisor, w.Longest+moveMargin)
+func (w *Controller) TrialDeadline() sumachead.BootTime {
+	move := min(w.Deadline.Sub(w.OrderedAt)/maxMoveDivisor, w.MaxRequestTime+moveMargin)
 	return w.Deadline.Add(-move)
 }
 
 // TrialProgress returns the fraction of the trial that has passed.
-func (w *Watch) Passed(now sumachead.BootTime) float64 {
-	return float64(now.Sub(w.Ordered)) / float64(max(w.DecideBy().Sub(w.Ordered), 1))
+func (w *Controller) TrialProgress(now sumachead.BootTime) float64 {
+	return float64(now.Sub(w.OrderedAt)) / float64(max(w.TrialDeadline().Sub(w.OrderedAt), 1))
 }
 
 // HandleReport processes a report, which must not be modified afterwards. If it is a duplicate of its
 // router's last one, it returns the reply to that; stale is set for an older one.
-func (w *Watch) Take(r *wire.RolloutReport, moving *wire.Rollout) (reply *wire.RolloutGrants, stale bool) {
+func (w *Controller) HandleReport(r *wire.RolloutReport, moving *wire.Rollout) (reply *wire.RolloutGrants, stale bool) {
 	if reply, stale = w.Exposure.HandleReport(r); reply != nil || stale {
 		return reply, stale
 	}
@@ -90,7 +90,7 @@
 }
 
 // GrantRequests returns the reply to a report, with grants out of the available requests.
-func (w *Watch) Answer(r *wire.RolloutReport, notIdempotent func(route string) bool, routers int, now sumachead.BootTime) *wire.RolloutGrants {
+func (w *Controller) GrantRequests(r *wire.RolloutReport, notIdempotent func(route string) bool, routers int, now sumachead.BootTime) *wire.RolloutGrants {
 	var arrivals int64
 	for _, a := range r.GetArrivals() {
 		if w.routes == nil {
@@ -103,7 +103,7 @@
 		Requests: FairShare(w.Exposure.Available(), arrivals), ValidMillis: grantTTL.Milliseconds(),
 		AgainMillis: (minReportInterval + time.Duration(routers)*reportIntervalPerRouter).Milliseconds(),
 	}
-	early := w.Passed(now) < nonIdempotentFrom || w.doubt
+	early := w.TrialProgress(now) < nonIdempotentFrom || w.doubt
 	for _, route := range slices.Sorted(maps.Keys(w.routes)) {
 		switch {
 		case early && notIdempotent(route):
@@ -117,7 +117,7 @@
 }
 
 // isScarce reports whether a route has far fewer canary responses than the route with the most.
-func (w *Watch) isScarce(route string) bool {
+func (w *Controller) isScarce(route string) bool {
 	var highest int64
 	for _, n := range w.canaryResponses {
 		highest = max(highest, n)
@@ -126,7 +126,7 @@
 }
 
 // summarize returns the totals of the results and updates the state on which grants depend.
-func (w *Watch) summarize() *totals {
+func (w *Controller) summarize() *totals {
 	w.canaryResponses = make(map[string]int64)
 	s := w.results.sum()
 	all := newComparison("", s.crashed)
@@ -139,16 +139,16 @@
 }
 
 // ServiceState is what the leading keeper knows of a service's servers and of the routers.
-type Fleet struct {
+type ServiceState struct {
 	// TargetSlots and OtherSlots are the slots of the ready servers of the target version and of all
 	// other versions.
-	Target, Others uint32
+	TargetSlots, OtherSlots uint32
 	// ReplacedVersions are the other versions.
-	Replaced []string
+	ReplacedVersions []string
 	// Routers are the node names of the routers that follow the leader.
 	Routers []string
 	// Complete: all servers have had enough time to report to the leader.
-	Known bool
+	Complete bool
 }
 
 // minSlotFactor is the minimum ratio of the target version's slots to those of the other versions.
@@ -156,7 +156,7 @@
 
 // NextStep returns the next step of a rollout, or nil if there is none yet. It should be called a few
 // times a second.
-func (w *Watch) Next(r *wire.Rollout, f *Fleet, now sumachead.BootTime) *wire.RolloutStep {
+func (w *Controller) NextStep(r *wire.Rollout, f *ServiceState, now sumachead.BootTime) *wire.RolloutStep {
 	s := w.summarize()
 	switch r.GetPhase() {
 	case wire.RolloutPhase_ROLLOUT_PHASE_TRIAL:
@@ -169,19 +169,19 @@
 
 // nextInTrial ends the trial: at once if the version is bad or if no other version has servers left,
 // otherwise when the time for the trial is over.
-func (w *Watch) nextInTrial(s *totals, f *Fleet, now sumachead.BootTime) *wire.RolloutStep {
-	over := now >= w.DecideBy()
+func (w *Controller) nextInTrial(s *totals, f *ServiceState, now sumachead.BootTime) *wire.RolloutStep {
+	over := now >= w.TrialDeadline()
 	v, why := evaluate(s, over)
 	switch {
 	case v == VerdictBad:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, why)
-	case f.Known && f.Others == 0 && f.Target > 0:
+	case f.Complete && f.OtherSlots == 0 && f.TargetSlots > 0:
 		return w.move(f, "no server of another version is left")
 	case !over:
 		return nil
 	case now >= w.Deadline:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, "the deadline has passed in the trial")
-	case float64(f.Target) < minSlotFactor*float64(f.Others) || f.Target == 0:
+	case float64(f.TargetSlots) < minSlotFactor*float64(f.OtherSlots) || f.TargetSlots == 0:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, "too few servers of the target version are there")
 	case v == VerdictGood:
 		return w.move(f, why)
@@ -192,12 +192,12 @@
 // nextInMove ends the move: once no router has requests in flight at the other versions, or when the
 // time is over. A version that turns out bad under the full load is rolled back as long as other
 // versions have servers.
-func (w *Watch) nextInMove(s *totals, f *Fleet, now sumachead.BootTime) *wire.RolloutStep {
+func (w *Controller) nextInMove(s *totals, f *ServiceState, now sumachead.BootTime) *wire.RolloutStep {
 	v, why := evaluate(s, false)
 	switch {
-	case v == VerdictBad && f.Others > 0:
+	case v == VerdictBad && f.OtherSlots > 0:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, "in the move: "+why)
-	case f.Known && f.Target == 0 && f.Others > 0:
+	case f.Complete && f.TargetSlots == 0 && f.OtherSlots > 0:
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, "the servers of the target version have gone in the move")
 	case w.allMoved(f.Routers):
 		return w.step(wire.RolloutPhase_ROLLOUT_PHASE_COMPLETE, "nothing runs at other versions any more")
@@ -208,7 +208,7 @@
 }
 
 // allMoved reports whether no router has requests in flight at the replaced versions.
-func (w *Watch) allMoved(routers []string) bool {
+func (w *Controller) allMoved(routers []string) bool {
 	left := make(map[string]bool)
 	for id, open := range w.moved {
 		if open > 0 {
@@ -224,12 +224,12 @@
 	return len(routers) > 0
 }
 
-func (w *Watch) step(p wire.RolloutPhase, why string) *wire.RolloutStep {
+func (w *Controller) step(p wire.RolloutPhase, why string) *wire.RolloutStep {
 	return &wire.RolloutStep{Service: w.Service, Order: w.Order, Phase: p, Reason: why}
 }
 
-func (w *Watch) move(f *Fleet, why string) *wire.RolloutStep {
+func (w *Controller) move(f *ServiceState, why string) *wire.RolloutStep {
 	s := w.step(wire.RolloutPhase_ROLLOUT_PHASE_MOVING, why)
-	s.Replaced = f.Replaced
+	s.Replaced = f.ReplacedVersions
 	return s
 }
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -16,7 +16,7 @@
 const (
 	// GrantTTL is how long a grant may be used after it was requested: several times the latency
 	// between data halls. It bounds how many earlier grants can be used within one second.
-	GrantLives = 100 * time.Millisecond
+	GrantTTL = 100 * time.Millisecond
 	// burstFraction is the fraction of the requests allowed in one second beyond the rate that may
 	// arrive at once after a pause. With grants from up to GrantTTL before, one second has at most 1.1
 	// times the rate plus this burst. The rest is for requests that were sent before the sender knew
@@ -48,7 +48,7 @@
 }
 
 // Intersect returns the bound on requests that both bounds allow.
-func (b Bound) And(c Bound) Bound {
+func (b Bound) Intersect(c Bound) Bound {
 	switch {
 	case b.Rate == 0:
 		return c
@@ -73,12 +73,12 @@
 // Admit reports whether one more request may be sent now, and if not, how long it takes until one
 // may. Less urgent requests leave a part of the burst to more urgent ones.
 func (g *Gate) Admit(b Bound, urgency uint32, now time.Time) (granted bool, retryAfter time.Duration) {
-	g.bucket.Fill(b.Rate, b.Burst, now)
+	g.bucket.Refill(b.Rate, b.Burst, now)
 	reserved := min(reservedFraction*float64(min(urgency, urgencyLevels-1))*b.Burst, max(b.Burst-1, 0))
 	if g.bucket.TakeAbove(reserved) {
 		return true, 0
 	}
-	return false, g.bucket.Until(1+reserved, b.Rate)
+	return false, g.bucket.TimeUntil(1+reserved, b.Rate)
 }
 
 // Shares limits the requests of one router to its share of the rates of cold servers. It is not safe
@@ -108,7 +108,7 @@
 	x.usedAt = now
 	rate := b.Rate * shareFraction / float64(routers)
 	size := min(rate, 1)
-	x.bucket.Fill(rate, size, now)
+	x.bucket.Refill(rate, size, now)
 	return x.bucket.Take(size)
 }
 
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -86,7 +86,7 @@
 			g = NewGate(since, b, now)
 		}
 		if granted, _ := g.Admit(b, uint32(r.IntN(4)), now); granted {
-			sends = append(sends, at+time.Duration(r.Int64N(int64(GrantLives))))
+			sends = append(sends, at+time.Duration(r.Int64N(int64(GrantTTL))))
 		}
 	}
 	return sends
