--- a/internal/fleet/alive_test.go
+++ b/internal/fleet/alive_test.go
@@ -9,10 +9,10 @@
 	"sumachead/api/wire"
 )
 
-// leader waits for a keeper that leads, and one that follows it.
-func (c *cluster) leader() (leader, follower *member) {
+// awaitLeader waits until one keeper leads and another one follows it.
+func (c *cluster) awaitLeader() (leader, follower *member) {
 	c.t.Helper()
-	c.eventually("a leader that all know", func() bool {
+	c.eventually("a leader with a follower", func() bool {
 		leader, follower = nil, nil
 		for _, m := range c.members {
 			switch {
@@ -28,14 +28,14 @@
 	return leader, follower
 }
 
-// known counts the servers of a service that a keeper knows.
-func known(k *member) int { return len(k.servers.Servers("chat", nil)) }
+// countKnown counts the servers of a service that a keeper knows.
+func countKnown(k *member) int { return len(k.servers.Servers("chat", nil)) }
 
-// A heartbeat of a ready server is acknowledged by any keeper that was in contact
-// lately, also while nobody leads, and reaches the next leader.
+// Any keeper that was in contact with a leader recently acknowledges heartbeats of ready servers,
+// even while nobody leads, and passes them on to the next leader.
 func TestReadyServersWaitForNoLeader(t *testing.T) {
 	c := newCluster(t, 3, 3)
-	leader, follower := c.leader()
+	leader, follower := c.awaitLeader()
 	for i, m := range c.members {
 		if m == leader {
 			c.halt(i)
@@ -49,24 +49,24 @@
 			t.Fatal(err)
 		}
 	}
-	if took := time.Since(begun); took > election/4 {
+	if took := time.Since(begun); took > electionTimeout/4 {
 		t.Errorf("%d heartbeats took %v", servers, took)
 	}
-	next, _ := c.leader()
-	c.eventually("all servers at the next leader", func() bool { return known(next) == servers })
+	next, _ := c.awaitLeader()
+	c.eventually("all servers known to the next leader", func() bool { return countKnown(next) == servers })
 }
 
-// A keeper that has lost contact does not acknowledge in the leader's name: servers
-// are to try another one.
-func TestCutOffKeeperTakesNoHeartbeats(t *testing.T) {
+// A keeper that has lost contact with the leader must not acknowledge heartbeats on its behalf, so
+// that servers try another keeper.
+func TestIsolatedKeeperRejectsHeartbeats(t *testing.T) {
 	c := newCluster(t, 3, 3)
-	_, follower := c.leader()
+	_, follower := c.awaitLeader()
 	for i, m := range c.members {
 		if m != follower {
 			c.halt(i)
 		}
 	}
-	c.eventually("contact is lost", func() bool { return !follower.inContact() })
+	c.eventually("loss of contact with the leader", func() bool { return !follower.hasLeaderContact() })
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if err := follower.Beat(ctx, &wire.ServerRecord{Id: "s", Service: "chat", Address: "10.0.0.1:80", Sequence: 1}); err == nil {
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// sweepEvery is how often the leader looks for servers that went silent.
-	sweepEvery = time.Second
-	// copyWait is how long the leader may hold a keeper's question.
-	copyWait = 800 * time.Millisecond
-	// copyWithin bounds an answer to such a question.
-	copyWithin = copyWait + callTimeout
-	// copyPause separates questions that failed: some of them fit into an election
+	// sweepInterval is the interval at which the leader checks for silent servers.
+	sweepInterval = time.Second
+	// copyPollWait is how long the leader may hold a keeper's follow request.
+	copyPollWait = 800 * time.Millisecond
+	// copyTimeout bounds the call of such a request.
+	copyTimeout = copyPollWait + callTimeout
+	// copyRetryInterval is the pause after a failed request; several of them fit into an election
 	// timeout.
-	copyPause = 200 * time.Millisecond
-	// copyAgain is the same after the first that failed, which may only mean that a
-	// connection was lost. The next one needs a new connection: if that is refused,
-	// the leader's process has most likely ended, and members poll each other.
-	copyAgain = 10 * time.Millisecond
+	copyRetryInterval = 200 * time.Millisecond
+	// copyFirstRetryDelay is the pause after the first failure, which may only mean that a
+	// connection was lost. The retry needs a new connection: if that is refused, the leader's
+	// process has most likely ended, and the members poll each other.
+	copyFirstRetryDelay = 10 * time.Millisecond
 )
 
-// Declare checks a declaration and commits it; the highest number holds, and one
-// that is not above it changes nothing. A [trace.BadParameter] error refuses it
-// for good; any other leaves open whether it will be in force.
+// Declare validates a declaration and commits it. The highest number wins; a declaration whose
+// number is not above the current one changes nothing. A [trace.BadParameter] error is a permanent
+// refusal; after any other error the declaration may or may not come into force.
 func (k *Keeper) Declare(ctx context.Context, d *wire.Declaration) error {
 	if err := catalog.Check(d.GetCatalog()); err != nil {
-		k.Log.Warn("A declaration is refused.", "number", d.GetNumber(), "error", err)
+		k.Log.Warn("Declaration rejected.", "number", d.GetNumber(), "error", err)
 		return err
 	}
 	p, err := catalog.Pack(d)
 	if err != nil {
 		return err
 	}
-	reply, err := ask[wire.DeclareReply](ctx, k, "Fleet.Declare", p, (&service{k}).Declare)
-	k.Log.Info("A declaration was taken.", "number", d.GetNumber(), "held", reply.GetNumber(), "error", err)
+	reply, err := callLeader[wire.DeclareReply](ctx, k, "Fleet.Declare", p, (&service{k}).Declare)
+	k.Log.Info("Processed a declaration.", "number", d.GetNumber(), "held", reply.GetNumber(), "error", err)
 	return err
 }
 
-// Document returns the newest declaration's number and the document as its
-// operator sent it; the answer is linearizable. The number is 0 before the first.
+// Document returns the newest declaration's number and the document as its operator sent it; the
+// read is linearizable. The number is 0 before the first declaration.
 func (k *Keeper) Document(ctx context.Context) (number uint64, source []byte, err error) {
-	own := k.machine.Packed()
-	reply, err := ask[wire.PackedDeclaration](ctx, k, "Fleet.Read", &wire.DocumentRequest{Number: own.GetNumber()}, (&service{k}).Read)
+	own := k.machine.PackedDeclaration()
+	reply, err := callLeader[wire.PackedDeclaration](ctx, k, "Fleet.Read", &wire.DocumentRequest{Number: own.GetNumber()}, (&service{k}).Read)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -62,23 +62,24 @@
 	return reply.GetNumber(), source, err
 }
 
-// ask runs a call at the leader: here, or by a call to it. It tries again while
-// ctx allows and nothing was done.
-func ask[R any, A proto.Message](ctx context.Context, k *Keeper, method string, args A, local func(A, *R) error) (*R, error) {
-	const retryPause = 50 * time.Millisecond
+// callLeader runs a call at the leader: locally if this keeper leads, else by RPC. It retries
+// until ctx ends while the call was refused for want of a leader, which means that it had no
+// effect.
+func callLeader[R any, A proto.Message](ctx context.Context, k *Keeper, method string, args A, local func(A, *R) error) (*R, error) {
+	const retryInterval = 50 * time.Millisecond
 	for {
-		reply, err := askOnce(ctx, k, method, args, local)
+		reply, err := callLeaderOnce(ctx, k, method, args, local)
 		if err == nil || !keeperclient.IsNotLeader(err) {
 			return reply, err
 		}
-		if !loop.Sleep(ctx, retryPause) {
+		if !loop.Sleep(ctx, retryInterval) {
 			return nil, err
 		}
 	}
 }
 
-func askOnce[R any, A proto.Message](ctx context.Context, k *Keeper, method string, args A, local func(A, *R) error) (*R, error) {
-	leader, err := k.leader(ctx)
+func callLeaderOnce[R any, A proto.Message](ctx context.Context, k *Keeper, method string, args A, local func(A, *R) error) (*R, error) {
+	leader, err := k.awaitLeader(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -92,20 +93,20 @@
 	return rpc.Call[R](ctx, k.Pool.Get(leader), method, args)
 }
 
-// sweepLoop looks for servers that went silent, and for suspects that have stood as they do
-// for long, where this keeper leads.
+// sweepLoop checks for silent servers and for suspects whose standing has expired, while this
+// keeper leads.
 func (k *Keeper) sweepLoop(ctx context.Context) error {
-	return loop.Every(ctx, sweepEvery, func() {
-		if k.node.Leading() && k.leading() == nil {
+	return loop.Every(ctx, sweepInterval, func() {
+		if k.node.Leading() && k.requireLeadership() == nil {
 			k.servers.Lead(k.history(), time.Now())
 			k.servers.Sweep(time.Now())
-			k.sweepSuspects(time.Now())
+			k.expireSuspects(time.Now())
 		}
 	})
 }
 
-// copyLoop keeps a copy of the leader's server records, so that this keeper can
-// take over with them.
+// copyLoop keeps a copy of the leader's server records, so that this keeper can take over with
+// them.
 func (k *Keeper) copyLoop(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -113,9 +114,9 @@
 			failures = 0
 			continue
 		}
-		pause := copyPause
+		pause := copyRetryInterval
 		if failures == 0 {
-			pause = copyAgain
+			pause = copyFirstRetryDelay
 		}
 		failures++
 		loop.Sleep(ctx, pause)
@@ -131,11 +132,11 @@
 	history, version := k.servers.Position()
 	r := &wire.FollowRequest{
 		Node: string(k.Node), Role: RoleKeeper, Hall: string(k.Hall),
-		// The declaration, the states of data halls, suspects and roll-outs come by the log.
+		// The declaration, hall states, suspects and rollouts are replicated by the log.
 		Number: math.MaxUint64, HallsRevision: math.MaxUint64, SuspectsRevision: math.MaxUint64, RolloutsRevision: math.MaxUint64,
-		History: history, Version: version, WaitMillis: copyWait.Milliseconds(),
+		History: history, Version: version, WaitMillis: copyPollWait.Milliseconds(),
 	}
-	ctx, cancel := context.WithTimeout(ctx, copyWithin)
+	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	reply, err := rpc.Call[wire.FollowReply](ctx, k.Pool.Get(leader), "Fleet.Follow", r)
 	if rpc.IsRefused(err) {
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,15 +1,14 @@
-// Package fleet is the control side of a fleet that is declared as one numbered
+// Package fleet is the control plane of a fleet whose configuration is declared as one numbered
 // document and whose backend servers register themselves.
 //
-// A [Machine] is the replicated state: the declaration in force, the escrow of
-// budgets, and the lives of backend servers that are leaving. A [Keeper] runs one
-// member of the group that replicates it, keeps the soft state beside it (server
-// records, demand, who follows), and serves nodes and operators. A [Host] keeps a
-// keeper running on a disk that may fail for a while.
+// A [StateMachine] is the replicated state: the declaration in force, the escrow of budgets, and
+// the incarnations of backend servers that are leaving. A [Keeper] runs one member of the Raft
+// group that replicates it, keeps soft state beside it (server records, demand, followers), and
+// serves nodes and operators. A [Supervisor] restarts a keeper whose disk fails temporarily.
 //
-// Every keeper takes the calls of operators and backend servers, and passes on to
-// the leading one what only that can answer. Heartbeats of servers that are ready it
-// acknowledges by itself, and passes them on in batches (alive.go); the servers that
-// it knows are kept in a file, for a leader after a kill of all (records.go). Nodes
-// call the leading keeper; another one refuses and names it.
+// Every keeper accepts calls of operators and backend servers, and forwards to the leader what
+// only the leader can answer. It acknowledges heartbeats of ready servers itself and forwards them
+// in batches (alive.go). It saves the servers that it knows to a file, from which a leader starts
+// after a restart of all keepers (records.go). Nodes call the leading keeper; any other keeper
+// refuses and names the leader.
 package fleet
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -26,7 +26,7 @@
 	"sumachead/internal/rpc"
 )
 
-// member is one keeper of a test's group.
+// member is one keeper of a test cluster.
 type member struct {
 	*Keeper
 	stop func()
@@ -44,8 +44,8 @@
 func newCluster(t *testing.T, n, founders int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, dir: t.TempDir(), members: make([]*member, n)}
-	// Addresses of its own: a port of 127.0.0.1 that is free now may be anybody's connection
-	// when a keeper starts again.
+	// Use a loopback address of its own: a free port of 127.0.0.1 may be taken by any other
+	// connection by the time a keeper restarts.
 	const first, last = 100, 250
 	host := fmt.Sprintf("127.%d.%d.%d", first+rand.IntN(last-first), rand.IntN(last), 1+rand.IntN(last))
 	for range n {
@@ -116,13 +116,13 @@
 	c.t.Fatalf("not in time: %s", what)
 }
 
-// voters waits for a number of voters, as the leader sees them.
-func (c *cluster) voters(n int) {
+// awaitVoters waits until the leader sees n voters.
+func (c *cluster) awaitVoters(n int) {
 	c.t.Helper()
 	c.eventually(fmt.Sprint(n, " voters"), func() bool {
 		for _, m := range c.members {
 			if m != nil && m.node.Leading() {
-				return voters(m.node.Status().GetMembers()) == n
+				return countVoters(m.node.Status().GetMembers()) == n
 			}
 		}
 		return false
@@ -145,7 +145,7 @@
 	})
 }
 
-// read returns the number and source that a keeper answers with.
+// read returns the number and source that a keeper returns.
 func (c *cluster) read(i int) string {
 	c.t.Helper()
 	var got string
@@ -159,9 +159,9 @@
 	return got
 }
 
-func TestFoundingAndNumbers(t *testing.T) {
+func TestHighestDeclarationNumberWins(t *testing.T) {
 	c := newCluster(t, 5, 3)
-	c.voters(5)
+	c.awaitVoters(5)
 	steps := []struct {
 		at   int
 		d    *wire.Declaration
@@ -169,11 +169,11 @@
 	}{
 		{0, declaration(5, "five"), "5 five"},
 		{4, declaration(9, "nine"), "9 nine"},
-		{1, declaration(7, "seven"), "9 nine"},       // an older one comes late
-		{2, declaration(9, "another"), "9 nine"},     // a race on one number
-		{3, declaration(9, "nine"), "9 nine"},        // a resend
-		{0, declaration(12, "twelve"), "12 twelve"},  // numbers rise by uneven steps
-		{1, declaration(12, "another"), "12 twelve"}, // other content under a held number
+		{1, declaration(7, "seven"), "9 nine"},       // an older one arrives late
+		{2, declaration(9, "another"), "9 nine"},     // two declarations with one number
+		{3, declaration(9, "nine"), "9 nine"},        // a retry
+		{0, declaration(12, "twelve"), "12 twelve"},  // numbers may have gaps
+		{1, declaration(12, "another"), "12 twelve"}, // other content under the number in force
 	}
 	for _, s := range steps {
 		c.declare(s.at, s.d)
@@ -189,11 +189,11 @@
 		t.Fatalf("an invalid declaration: %v", err)
 	}
 	if got := c.read(2); got != "12 twelve" {
-		t.Fatalf("an invalid declaration left a trace: %s", got)
+		t.Fatalf("an invalid declaration changed the state: %s", got)
 	}
 }
 
-func TestAllStopAtOnceAndComeBack(t *testing.T) {
+func TestDeclarationSurvivesRestartOfAllKeepers(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	c.declare(0, declaration(4, "four"))
 	for i := range c.members {
@@ -203,11 +203,11 @@
 		c.start(i, false)
 	}
 	if got := c.read(1); got != "4 four" {
-		t.Fatalf("after all stopped: %s", got)
+		t.Fatalf("after the restart: %s", got)
 	}
 }
 
-func TestEmptyDiskJoinsAsAnotherSelf(t *testing.T) {
+func TestEmptyDiskJoinsWithNewIncarnation(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	c.declare(0, declaration(4, "four"))
 	old := c.members[2].identity.GetIncarnation()
@@ -217,23 +217,23 @@
 	}
 	c.start(2, false)
 	if c.members[2].identity.GetIncarnation() == old {
-		t.Fatal("an empty disk votes as its old self")
+		t.Fatal("a keeper with an empty disk has its old incarnation")
 	}
-	c.voters(3)
+	c.awaitVoters(3)
 	if got := c.read(2); got != "4 four" {
 		t.Fatalf("at the keeper with the new disk: %s", got)
 	}
 }
 
-func TestReplacedHostIsForgotten(t *testing.T) {
+func TestSilentVoterIsRemoved(t *testing.T) {
 	c := newCluster(t, 4, 3)
-	c.voters(4)
+	c.awaitVoters(4)
 	c.halt(1)
-	// An even number of voters: the silent one loses its place.
-	c.voters(3)
+	// With an even number of voters, the silent one is removed.
+	c.awaitVoters(3)
 	c.declare(0, declaration(4, "four"))
 	c.start(1, false)
-	c.voters(4)
+	c.awaitVoters(4)
 	if got := c.read(1); got != "4 four" {
 		t.Fatalf("at the keeper that came back: %s", got)
 	}
@@ -276,8 +276,8 @@
 	})
 }
 
-func TestMachineRestores(t *testing.T) {
-	m := NewMachine()
+func TestStateMachineRestoresSnapshot(t *testing.T) {
+	m := NewStateMachine()
 	apply := func(c *wire.FleetCommand) any {
 		data, err := proto.Marshal(c)
 		if err != nil {
@@ -299,44 +299,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewMachine()
+	restored := NewStateMachine()
 	var left []string
 	restored.OnLeaving = func(id string) { left = append(left, id) }
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	source, err := catalog.Source(restored.Packed())
+	source, err := catalog.Source(restored.PackedDeclaration())
 	if err != nil {
 		t.Fatal(err)
 	}
 	free, _ := restored.Budget("clerks")
-	got := fmt.Sprint(restored.Packed().GetNumber(), " ", string(source), " ", free, " ", left)
+	got := fmt.Sprint(restored.PackedDeclaration().GetNumber(), " ", string(source), " ", free, " ", left)
 	if diff := cmp.Diff("3 three 600 [i-1]", got); diff != "" {
 		t.Fatalf("(-want +got):\n%s", diff)
 	}
-	if _, advice := restored.Size(&escrow.Sizer{}, &wire.EscrowReport{}, time.Now()); len(advice) != 0 {
+	if _, advice := restored.AllocateGrants(&escrow.Sizer{}, &wire.EscrowReport{}, time.Now()); len(advice) != 0 {
 		t.Fatal("advice without positions")
 	}
 }
 
-func TestRelaysAreOfDifferentHallsAndStay(t *testing.T) {
+func TestRelaySelectionIsStable(t *testing.T) {
 	f := newFollowers()
 	now := time.Now()
 	for i := range 9 {
-		f.saw(&wire.FollowRequest{
+		f.observe(&wire.FollowRequest{
 			Node: fmt.Sprint("side-", i), Role: RoleRelay, Hall: fmt.Sprint("hall-", i%3), RelayAddress: fmt.Sprint("10.0.0.", i, ":1"),
 		}, now)
 	}
 	first := f.relaysFor("router-1")
-	if len(first) < relaysEach {
+	if len(first) < relaysPerRouter {
 		t.Fatalf("relays %v", first)
 	}
 	if d := cmp.Diff(first, f.relaysFor("router-1")); d != "" {
-		t.Fatalf("they change (-want +got):\n%s", d)
+		t.Fatalf("the relays of a router change (-want +got):\n%s", d)
 	}
 }
 
-// A question who leads is held while nobody does, and answered at once then.
+// A request for the leader's address blocks while nobody leads, and is answered as soon as there
+// is a leader.
 func TestLocateIsHeldUntilSomebodyLeads(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	c.eventually("a first leader", func() bool { return c.members[0].node.Status().GetLeader() != "" })
@@ -376,20 +377,20 @@
 	}
 }
 
-// A keeper that has lost its disk knows the seeds only. It is taken in also where the
-// leader is none of them.
+// A keeper that has lost its disk knows only the seeds. It must be able to join even if the leader
+// is not a seed.
 func TestNewSelfJoinsALeaderThatIsNoSeed(t *testing.T) {
 	const seeds = 3
 	c := newCluster(t, 5, seeds)
-	c.voters(5)
+	c.awaitVoters(5)
 	for {
-		leader, _ := c.leader()
+		leader, _ := c.awaitLeader()
 		i := slices.Index(c.members, leader)
 		if i >= seeds {
 			break
 		}
 		c.halt(i)
-		c.leader() // another one, perhaps again a seed
+		c.awaitLeader() // a different leader, possibly a seed again
 		c.start(i, false)
 	}
 	c.halt(1)
@@ -397,16 +398,16 @@
 		t.Fatal(err)
 	}
 	c.start(1, false)
-	c.eventually("the new self votes", func() bool {
+	c.eventually("the keeper with the new incarnation votes", func() bool {
 		for i, m := range c.members {
 			if !m.node.Leading() {
 				continue
 			}
 			if i < seeds {
-				t.Fatal("a seed has come to lead: the test shows nothing")
+				t.Fatal("a seed leads: the test proves nothing")
 			}
 			ms := m.node.Status().GetMembers()
-			return raft.IsMember(ms, c.members[1].self()) && voters(ms) == len(c.members)
+			return raft.IsMember(ms, c.members[1].self()) && countVoters(ms) == len(c.members)
 		}
 		return false
 	})
--- a/internal/fleet/followers.go
+++ b/internal/fleet/followers.go
@@ -19,91 +19,92 @@
 )
 
 const (
-	// followerLives is how long a follower counts after its last question: some
-	// holds of a question.
-	followerLives = 3 * time.Second
-	// expireEvery is how often it is looked for followers that have gone: a part of how long
-	// they live.
-	expireEvery = 100 * time.Millisecond
-	// relayLives is the same for relays, which ask less often.
-	relayLives = 10 * time.Second
-	// relaysEach is how many relays a router is told of: enough that some are
-	// in halls that a cut has not reached.
-	relaysEach = 4
-	// relaysInHall is how many relays of a hall are told to routers: enough that
-	// the loss of some leaves a way.
-	relaysInHall = 8
-	// spareRelayPause is how long a relay beyond these waits before it asks again
-	// whether it is needed: longer than relayLives, after which one that has gone
-	// does not count any more.
-	spareRelayPause = 15 * time.Second
+	// followerTTL is how long a follower counts after its last follow request: several long polls.
+	followerTTL = 3 * time.Second
+	// expireInterval is the minimum interval between searches for expired followers: a fraction of
+	// their TTL.
+	expireInterval = 100 * time.Millisecond
+	// relayTTL is the same for relays, which poll less often.
+	relayTTL = 10 * time.Second
+	// relaysPerRouter is how many relays a router is told of: enough that some are in data halls
+	// that a network partition does not affect.
+	relaysPerRouter = 4
+	// maxRelaysPerHall is how many relays of a data hall are offered to routers: enough that some
+	// remain when others are lost.
+	maxRelaysPerHall = 8
+	// spareRelayRetryInterval is how long a relay beyond that number waits before it asks again
+	// whether it is needed. It is longer than relayTTL, so that a relay that has gone has expired
+	// by then.
+	spareRelayRetryInterval = 15 * time.Second
 )
 
-// follower is one node that follows.
+// follower is a node that follows this keeper.
 type follower struct {
 	role string
 	hall sumachead.HallID
-	// relay is where it relays connections; empty for none.
+	// relay is the address where it relays connections; empty if it does not.
 	relay string
-	// lending is where it lends escrow; empty where it does not.
+	// lending is the address where it lends escrow; empty if it does not.
 	lending string
-	// seen is when its last question came.
-	seen time.Time
+	// lastSeen is when its last follow request arrived.
+	lastSeen time.Time
 }
 
-// followers is who follows this leader; soft state. What followers are told of each other is made
-// anew only when somebody comes or goes: each of them asks some times a second.
+// followers is the set of nodes that follow this leader; it is soft state. Every follower polls
+// several times a second, so the lists that are derived from it are recomputed only when a
+// follower comes, goes or changes.
 type followers struct {
 	mu    sync.Mutex // guards the fields below
 	nodes map[sumachead.NodeID]follower
-	// counts are how many nodes there are of each role.
+	// counts holds the number of nodes of each role.
 	counts map[string]int
-	// relays are those of each node, and lenders those of each hall, as far as they were asked
-	// for since somebody came or went.
+	// relays and lenders cache the lists per node and per hall that were requested since the last
+	// change of the set.
 	relays  map[sumachead.NodeID][]string
-	lenders map[sumachead.HallID]lenders
-	// expiredAt is when it was last looked for nodes that have gone.
+	lenders map[sumachead.HallID]lenderList
+	// expiredAt is when the set was last searched for expired nodes.
 	expiredAt time.Time
 }
 
-// lenders is where the routers of a data hall lend escrow, with a digest of the list.
-type lenders struct {
+// lenderList holds the addresses at which the routers of a data hall lend escrow, and a digest of
+// them.
+type lenderList struct {
 	addresses []string
 	digest    uint64
 }
 
 func newFollowers() *followers {
 	f := &followers{nodes: make(map[sumachead.NodeID]follower), counts: make(map[string]int)}
-	f.changed()
+	f.invalidate()
 	return f
 }
 
-// changed forgets what was made of those who follow. The caller holds mu.
-func (f *followers) changed() {
-	f.relays, f.lenders = make(map[sumachead.NodeID][]string), make(map[sumachead.HallID]lenders)
+// invalidate drops the cached lists. The caller holds mu.
+func (f *followers) invalidate() {
+	f.relays, f.lenders = make(map[sumachead.NodeID][]string), make(map[sumachead.HallID]lenderList)
 }
 
-// saw notes a question. For a relay that is not needed, which is not noted, it
-// returns how long that should wait before it asks again; 0 for all others.
-func (f *followers) saw(r *wire.FollowRequest, now time.Time) (pause time.Duration) {
+// observe records a follow request. For a surplus relay, which is not recorded, it returns how
+// long the relay has to wait before it asks again; otherwise it returns 0.
+func (f *followers) observe(r *wire.FollowRequest, now time.Time) (pause time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.expire(now)
-	if r.GetRole() == RoleRelay && f.relaysBeside(r) >= relaysInHall {
-		return spareRelayPause
+	if r.GetRole() == RoleRelay && f.otherRelays(r) >= maxRelaysPerHall {
+		return spareRelayRetryInterval
 	}
-	f.note(sumachead.NodeID(r.GetNode()), follower{
+	f.upsert(sumachead.NodeID(r.GetNode()), follower{
 		role: r.GetRole(), hall: sumachead.HallID(r.GetHall()), relay: r.GetRelayAddress(),
-		lending: r.GetLendingAddress(), seen: now,
+		lending: r.GetLendingAddress(), lastSeen: now,
 	})
 	return 0
 }
 
-// note keeps what a node tells of itself. The caller holds mu.
-func (f *followers) note(n sumachead.NodeID, x follower) {
+// upsert stores what a node reports of itself. The caller holds mu.
+func (f *followers) upsert(n sumachead.NodeID, x follower) {
 	old, known := f.nodes[n]
 	f.nodes[n] = x
-	old.seen = x.seen
+	old.lastSeen = x.lastSeen
 	if known && old == x {
 		return
 	}
@@ -111,12 +112,12 @@
 		f.counts[old.role]--
 	}
 	f.counts[x.role]++
-	f.changed()
+	f.invalidate()
 }
 
-// relaysBeside counts the other relays of a relay's hall; 0 for one that is counted
-// already. The caller holds mu.
-func (f *followers) relaysBeside(r *wire.FollowRequest) int {
+// otherRelays counts the other relays in a relay's hall; it returns 0 for a relay that is already
+// in the set. The caller holds mu.
+func (f *followers) otherRelays(r *wire.FollowRequest) int {
 	if _, ok := f.nodes[sumachead.NodeID(r.GetNode())]; ok {
 		return 0
 	}
@@ -129,35 +130,34 @@
 	return n
 }
 
-// expire forgets who has not asked for long. The caller holds mu.
+// expire removes nodes whose TTL has passed. The caller holds mu.
 func (f *followers) expire(now time.Time) {
-	if now.Sub(f.expiredAt) < expireEvery {
+	if now.Sub(f.expiredAt) < expireInterval {
 		return
 	}
 	f.expiredAt = now
 	for n, x := range f.nodes {
-		lives := followerLives
+		ttl := followerTTL
 		if x.role == RoleRelay {
-			lives = relayLives
+			ttl = relayTTL
 		}
-		if now.Sub(x.seen) > lives {
+		if now.Sub(x.lastSeen) > ttl {
 			delete(f.nodes, n)
 			f.counts[x.role]--
-			f.changed()
+			f.invalidate()
 		}
 	}
 }
 
-// count returns how many followers of a role there are.
+// count returns the number of followers with a role.
 func (f *followers) count(role string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts[role]
 }
 
-// relaysFor picks relays for a node: always the same while none comes or goes,
-// different ones for different nodes, and one of each hall first. The list must not be
-// changed.
+// relaysFor returns the relays for a node: stable while none comes or goes, different for
+// different nodes, and spread over the halls. The caller must not change the list.
 func (f *followers) relaysFor(node string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,7 +168,7 @@
 	return f.relays[n]
 }
 
-// pickRelays is relaysFor made anew. The caller holds mu.
+// pickRelays computes the list for relaysFor. The caller holds mu.
 func (f *followers) pickRelays(node string) []string {
 	byHall := make(map[sumachead.HallID][]string)
 	for _, x := range f.nodes {
@@ -180,7 +180,7 @@
 		slices.SortFunc(rs, func(a, b string) int { return cmp.Compare(Rank(node, a), Rank(node, b)) })
 	}
 	var out []string
-	for i := 0; len(out) < relaysEach; i++ {
+	for i := 0; len(out) < relaysPerRouter; i++ {
 		before := len(out)
 		for _, rs := range byHall {
 			if i < len(rs) {
@@ -195,9 +195,9 @@
 	return out
 }
 
-// lendersOf lists where the routers of a data hall lend escrow, with a digest of the list, which
-// must not be changed.
-func (f *followers) lendersOf(hall sumachead.HallID) (addresses []string, digest uint64) {
+// lendersIn returns the addresses at which the routers of a data hall lend escrow, and a digest of
+// the list, which the caller must not change.
+func (f *followers) lendersIn(hall sumachead.HallID) (addresses []string, digest uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x, ok := f.lenders[hall]
@@ -208,8 +208,8 @@
 	return x.addresses, x.digest
 }
 
-// pickLenders is lendersOf made anew. The caller holds mu.
-func (f *followers) pickLenders(hall sumachead.HallID) (out lenders) {
+// pickLenders computes the list for lendersIn. The caller holds mu.
+func (f *followers) pickLenders(hall sumachead.HallID) (out lenderList) {
 	for _, x := range f.nodes {
 		if x.lending != "" && x.hall == hall {
 			out.addresses = append(out.addresses, x.lending)
@@ -225,8 +225,8 @@
 	return out
 }
 
-// Rank orders choices differently for each chooser, and alike at all processes: the least is
-// chosen (rendezvous hashing).
+// RendezvousHash scores a choice for a chooser (rendezvous hashing): each chooser takes the choice
+// with the lowest score. Scores differ between choosers and are the same in all processes.
 func Rank(chooser, choice string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(chooser))
--- a/internal/fleet/halls.go
+++ b/internal/fleet/halls.go
@@ -11,28 +11,29 @@
 	"sumachead/api/wire"
 )
 
-// A data hall can be vacated, as before maintenance: its backend servers get nothing new
-// until it is opened again, and what runs there ends by itself.
+// A data hall can be vacated (drained), for example before maintenance: its backend servers get no
+// new requests until it is opened again, and requests in flight finish.
 //
-// Operators' orders carry no number, are sent again to other keepers when an
-// acknowledgement is late, and the first copy may still be under way then: in the log of
-// a leader that was deposed, or in the buffers of a keeper that was frozen. So each order
-// counts up the hall's revision, also one that changes nothing, and is taken only against
-// the revision that its keeper read, linearizably, while its operator still waited. A copy
-// that comes late finds that another order has been taken since, and changes nothing.
-
-// halls are the states of data halls. The machine that holds them guards them.
-type halls struct {
-	// revision counts the orders that were taken.
+// Operators' orders carry no number and are retried at other keepers when an acknowledgement is
+// late. The first copy may then still be in flight: in the log of a deposed leader, or in the
+// buffers of a frozen keeper. Each order therefore increments the hall's revision, even one that
+// changes nothing, and is accepted only against the revision that its keeper read, linearizably,
+// while its operator was still waiting. A late duplicate finds a newer revision and changes
+// nothing.
+
+// hallStates holds the states of data halls. The mutex of the state machine that owns it guards
+// it.
+type hallStates struct {
+	// revision counts the accepted orders.
 	revision uint64
-	// states are by hall; the messages are replaced, never changed.
+	// states is keyed by hall; the messages are replaced, never changed.
 	states map[string]*wire.HallState
-	// learned is when this process took the newest order for a hall.
-	learned map[string]time.Time
+	// changedAt is when this process last saw the state of a hall change.
+	changedAt map[string]time.Time
 }
 
-// order takes an order, unless another one for the hall came first.
-func (h *halls) order(o *wire.HallOrder) *wire.HallOrderReply {
+// apply accepts an order unless another order for the hall was accepted first.
+func (h *hallStates) apply(o *wire.HallOrder) *wire.HallOrderReply {
 	if h.states[o.GetHall()].GetRevision() != o.GetAgainst() {
 		return &wire.HallOrderReply{}
 	}
@@ -46,20 +47,20 @@
 	return &wire.HallOrderReply{Taken: true}
 }
 
-// put replaces a hall's state.
-func (h *halls) put(s *wire.HallState) {
+// put replaces the state of a hall.
+func (h *hallStates) put(s *wire.HallState) {
 	if h.states == nil {
 		h.states = make(map[string]*wire.HallState)
-		h.learned = make(map[string]time.Time)
+		h.changedAt = make(map[string]time.Time)
 	}
 	if old := h.states[s.GetHall()]; old == nil || old.GetVacated() != s.GetVacated() {
-		h.learned[s.GetHall()] = time.Now()
+		h.changedAt[s.GetHall()] = time.Now()
 	}
 	h.states[s.GetHall()] = s
 }
 
-// snapshot returns what is stored.
-func (h *halls) snapshot() *wire.HallStates {
+// snapshot returns the state for a snapshot.
+func (h *hallStates) snapshot() *wire.HallStates {
 	s := &wire.HallStates{Revision: h.revision}
 	for _, x := range h.states {
 		s.Halls = append(s.Halls, x)
@@ -68,33 +69,33 @@
 	return s
 }
 
-// restore replaces everything by what was stored.
-func (h *halls) restore(s *wire.HallStates) {
-	*h = halls{revision: s.GetRevision()}
+// restore replaces the state by that of a snapshot.
+func (h *hallStates) restore(s *wire.HallStates) {
+	*h = hallStates{revision: s.GetRevision()}
 	for _, x := range s.GetHalls() {
 		h.put(x)
 	}
 }
 
-// tell returns the states with their ages at a time.
-func (h *halls) tell(now time.Time) *wire.HallStates {
+// snapshotWithAges returns the states with their ages at the given time.
+func (h *hallStates) snapshotWithAges(now time.Time) *wire.HallStates {
 	s := h.snapshot()
 	for i, x := range s.GetHalls() {
 		s.Halls[i] = proto.CloneOf(x)
-		s.Halls[i].AgeMillis = now.Sub(h.learned[x.GetHall()]).Milliseconds()
+		s.Halls[i].AgeMillis = now.Sub(h.changedAt[x.GetHall()]).Milliseconds()
 	}
 	return s
 }
 
 // Halls returns the states of data halls with their ages.
-func (m *Machine) Halls(now time.Time) *wire.HallStates {
+func (m *StateMachine) Halls(now time.Time) *wire.HallStates {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.halls.tell(now)
+	return m.halls.snapshotWithAges(now)
 }
 
-// VacatedHalls counts the data halls that are vacated.
-func (m *Machine) VacatedHalls() int {
+// CountVacatedHalls returns the number of vacated data halls.
+func (m *StateMachine) CountVacatedHalls() int {
 	n := 0
 	for _, x := range m.Halls(time.Now()).GetHalls() {
 		if x.GetVacated() {
@@ -104,16 +105,16 @@
 	return n
 }
 
-// HallsRevision returns how many orders for data halls were taken.
-func (m *Machine) HallsRevision() uint64 {
+// HallsRevision returns the number of accepted orders for data halls.
+func (m *StateMachine) HallsRevision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.halls.revision
 }
 
-// Halls returns the states of data halls; the answer is linearizable.
+// Halls returns the states of data halls; the read is linearizable.
 func (s *service) Halls(_ *wire.Empty, reply *wire.HallStates) error {
-	if err := s.keeper.leading(); err != nil {
+	if err := s.keeper.requireLeadership(); err != nil {
 		return err
 	}
 	proto.Merge(reply, s.keeper.machine.Halls(time.Now()))
@@ -130,12 +131,12 @@
 	return nil
 }
 
-// Vacate takes an operator's order to vacate a data hall, or to open it again, and returns
-// once it is committed. After an error it is open whether it will be in force; an order
-// whose operator has gone, as ctx tells, is not proposed.
+// Vacate executes an operator's order to vacate or reopen a data hall, and returns once it is
+// committed. After an error the order may or may not come into force. An order is not proposed
+// once ctx has ended, which means that its operator is gone.
 func (k *Keeper) Vacate(ctx context.Context, hall string, vacated bool) error {
 	err := k.vacate(ctx, hall, vacated)
-	k.Log.Info("A data hall is ordered to be vacated or open.", "hall", hall, "vacated", vacated, "error", err)
+	k.Log.Info("Processed an order for a data hall.", "hall", hall, "vacated", vacated, "error", err)
 	return err
 }
 
@@ -154,14 +155,14 @@
 				o.Against = x.GetRevision()
 			}
 		}
-		reply, err := ask[wire.HallOrderReply](ctx, k, "Fleet.Order", o, (&service{k}).Order)
+		reply, err := callLeader[wire.HallOrderReply](ctx, k, "Fleet.Order", o, (&service{k}).Order)
 		if err != nil || reply.GetTaken() {
 			return err
 		}
 	}
 }
 
-// HallStates returns the states of data halls; the answer is linearizable.
+// HallStates returns the states of data halls; the read is linearizable.
 func (k *Keeper) HallStates(ctx context.Context) (*wire.HallStates, error) {
-	return ask[wire.HallStates](ctx, k, "Fleet.Halls", &wire.Empty{}, (&service{k}).Halls)
+	return callLeader[wire.HallStates](ctx, k, "Fleet.Halls", &wire.Empty{}, (&service{k}).Halls)
 }
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -14,55 +14,54 @@
 )
 
 const (
-	// reopenFirst and reopenMost bound the pause before a keeper whose disk has
-	// failed reads it again; the pause doubles each time.
-	reopenFirst = 200 * time.Millisecond
-	reopenMost  = 2 * time.Second
-	// healthyFor is how long a keeper must have run for the pause to start anew.
-	healthyFor = 10 * time.Second
+	// minReopenInterval and maxReopenInterval bound the exponential backoff before a keeper whose
+	// disk has failed is opened again.
+	minReopenInterval = 200 * time.Millisecond
+	maxReopenInterval = 2 * time.Second
+	// reopenResetAfter is how long a keeper must have run for the backoff to be reset.
+	reopenResetAfter = 10 * time.Second
 )
 
-// Host keeps a keeper running on a disk that may fail for a while: after a failed
-// write it is not known what the disk holds, so the keeper steps down, and a new
-// one starts from what can be read. Set the exported fields before Run.
+// Supervisor keeps a keeper running on a disk that may fail temporarily. After a failed write the
+// content of the disk is unknown, so the keeper steps down, and a new one starts from what can be
+// read. Set the exported fields before Run.
 type Host struct {
-	// New returns a keeper that is not prepared yet.
+	// New returns a keeper on which Prepare has not been called.
 	New func() *Keeper
 	Log hclog.Logger
 
 	current atomic.Pointer[Keeper]
 }
 
-// Keeper returns the keeper that runs; nil while there is none.
+// Keeper returns the running keeper; nil if there is none.
 func (h *Host) Keeper() *Keeper { return h.current.Load() }
 
-// Run runs keepers, one after the other, until ctx ends or an error that waiting
-// does not mend.
+// Run runs keepers, one after the other, until ctx ends or an error is permanent.
 func (h *Host) Run(ctx context.Context) error {
-	pause := reopenFirst
+	pause := minReopenInterval
 	for {
 		begun := time.Now()
 		err := h.runOne(ctx)
-		if err == nil || ctx.Err() != nil || final(err) {
+		if err == nil || ctx.Err() != nil || isPermanent(err) {
 			return err
 		}
-		if time.Since(begun) > healthyFor {
-			pause = reopenFirst
+		if time.Since(begun) > reopenResetAfter {
+			pause = minReopenInterval
 		}
-		h.Log.Error("The keeper's disk has failed; it is read again.", "error", err, "pause", pause)
+		h.Log.Error("Keeper failed; opening its disk again.", "error", err, "pause", pause)
 		if !loop.Sleep(ctx, pause) {
 			return nil
 		}
-		pause = min(2*pause, reopenMost)
+		pause = min(2*pause, maxReopenInterval)
 	}
 }
 
 // runOne runs one keeper until it fails or ctx ends.
 func (h *Host) runOne(ctx context.Context) error {
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	keeperCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	k := h.New()
-	if err := k.Prepare(life); err != nil {
+	if err := k.Prepare(keeperCtx); err != nil {
 		return err
 	}
 	h.current.Store(k)
@@ -70,9 +69,9 @@
 	return k.Run(ctx)
 }
 
-// final reports whether an error is not one of a disk that may recover: settings
-// that do not fit the folder, or a log that has lost what was synced.
-func final(err error) bool {
+// isPermanent reports whether an error cannot be resolved by opening the disk again: settings that
+// do not match the data directory, or a log that has lost synced entries.
+func isPermanent(err error) bool {
 	var damage *wal.DamageError
 	return trace.IsBadParameter(err) || errors.As(err, &damage)
 }
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -14,8 +14,8 @@
 	"sumachead/internal/rpc"
 )
 
-// hostOf returns a host whose folder can be chosen for each keeper.
-func hostOf(t *testing.T, address string, data func() string) *Host {
+// newTestSupervisor returns a supervisor that calls data for the directory of each keeper.
+func newTestSupervisor(t *testing.T, address string, data func() string) *Host {
 	t.Helper()
 	pool := &rpc.Pool{}
 	t.Cleanup(pool.Close)
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	var tries atomic.Int32
-	h := hostOf(t, "127.0.0.1:0", func() string {
+	h := newTestSupervisor(t, "127.0.0.1:0", func() string {
 		if tries.Add(1) <= 2 {
 			return filepath.Join(file, "data") // every write fails
 		}
@@ -46,7 +46,7 @@
 	go func() { done <- h.Run(ctx) }()
 	for deadline := time.Now().Add(5 * time.Second); h.Keeper() == nil; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("no keeper after the disk has recovered")
+			t.Fatal("no keeper runs after the disk has recovered")
 		}
 	}
 	cancel()
@@ -55,17 +55,17 @@
 	}
 }
 
-func TestForeignFolderIsRefused(t *testing.T) {
+func TestDataDirOfAnotherKeeperIsRefused(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	run := func(address string) error {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
-		return hostOf(t, address, func() string { return dir }).Run(ctx)
+		return newTestSupervisor(t, address, func() string { return dir }).Run(ctx)
 	}
 	if err := run("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	if err := run("127.0.0.2:0"); !trace.IsBadParameter(err) {
-		t.Fatalf("a folder of another keeper: %v", err)
+		t.Fatalf("a directory of another keeper: %v", err)
 	}
 }
--- a/internal/fleet/identity.go
+++ b/internal/fleet/identity.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// identityFile is the file in a keeper's folder that says whose it is.
+	// identityFile is the file in the data directory that holds the keeper's identity.
 	identityFile = "identity"
-	// foundingIncarnation is that of members that start with the system, which
-	// need not ask each other for one.
+	// foundingIncarnation is the incarnation of the founders, so that they need not exchange
+	// random ones when the system starts.
 	foundingIncarnation = "founding"
 )
 
-// openIdentity reads the identity or writes a new one to an empty folder. A
-// folder that is empty although the system exists has lost what it held: it gets
-// a new incarnation and joins, and its old self's vote is not used again.
+// openIdentity reads the identity, or writes a new one to an empty directory. If the directory is
+// empty although the system exists, its data has been lost: the keeper gets a new incarnation and
+// joins as a new member, so that the vote of the lost one is never used again.
 func (k *Keeper) openIdentity() error {
 	path := filepath.Join(k.Data, identityFile)
 	id := &wire.Identity{}
@@ -31,13 +31,13 @@
 	case err == nil:
 		err = proto.Unmarshal(data, id)
 	case trace.IsNotFound(err):
-		k.fillIdentity(id)
+		k.initIdentity(id)
 		if data, err = proto.Marshal(id); err == nil {
 			err = wal.WriteFile(path, data)
 		}
 	}
 	if err != nil {
-		return trace.Wrap(err, "identity of the keeper")
+		return trace.Wrap(err, "opening the keeper's identity")
 	}
 	if id.GetKeeper() != k.Address {
 		return trace.BadParameter("%s belongs to keeper %q, not to %q", path, id.GetKeeper(), k.Address)
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// fillIdentity draws the identity of an empty folder: a founder's, or that of a
-// keeper that joins.
-func (k *Keeper) fillIdentity(id *wire.Identity) {
+// initIdentity creates the identity for an empty directory: that of a founder, or of a keeper that
+// joins.
+func (k *Keeper) initIdentity(id *wire.Identity) {
 	id.Keeper = k.Address
 	if !slices.Contains(k.Founders, k.Address) {
 		id.Incarnation, id.Joined = uuid.NewString(), true
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -22,94 +22,91 @@
 )
 
 const (
-	// Group names the one group of a fleet.
+	// Group is the ID of the single Raft group of a fleet.
 	Group sumachead.GroupID = "fleet"
-	// heartbeat and election are longer than the defaults: keepers of a fleet
-	// have a fraction of a core, an idle group should cost little, and a sync that
-	// hangs for half a second (seen: 631 ms on a busy disk) should cost no leader.
-	// Holders of escrow bear an election with what they have at hand.
-	heartbeat = 120 * time.Millisecond
-	election  = 900 * time.Millisecond
-	// snapshotEvery keeps the log far below a disk of some 100 MB when each
-	// entry is a large declaration.
-	snapshotEvery = 400
-	// stopTimeout bounds the hand-over of leadership on a planned stop.
-	stopTimeout = 1500 * time.Millisecond
+	// heartbeatInterval and electionTimeout are longer than the defaults: keepers of a fleet have
+	// a fraction of a core, an idle group should cost little, and a sync that hangs for half a
+	// second (631 ms occurs on a busy disk) should not depose a leader. During an election,
+	// holders of escrow spend what they have available.
+	heartbeatInterval = 120 * time.Millisecond
+	electionTimeout   = 900 * time.Millisecond
+	// entriesPerSnapshot keeps the log far below a disk of some 100 MB even if each entry is a
+	// large declaration.
+	entriesPerSnapshot = 400
+	// transferTimeout bounds the transfer of leadership on a planned stop.
+	transferTimeout = 1500 * time.Millisecond
 )
 
-// Keeper is one member of the control group. Set the exported fields before Run.
+// Keeper is one member of the control plane's Raft group. Set the exported fields before Run.
 type Keeper struct {
 	Node sumachead.NodeID
 	Hall sumachead.HallID
-	// Address is where other processes call this one; it names the member.
+	// Address is the RPC address of this keeper and its member ID.
 	Address string
-	// Data is the folder for the group's files.
+	// DataDir is the directory for the identity, the log and the server records.
 	Data string
-	// Founders are the addresses of the members that start the system; empty
-	// when it exists already.
+	// Founders are the addresses of the initial members; empty if the system already exists.
 	Founders []string
-	// Seeds returns addresses of keepers to ask for the others.
+	// Seeds returns addresses of keepers through which the others are found.
 	Seeds func() []string
-	// Heartbeat is the interval at which backend servers register.
+	// Heartbeat is the interval at which backend servers send heartbeats.
 	Heartbeat time.Duration
 	RPC       *rpc.Server
 	Pool      *rpc.Pool
 	Log       hclog.Logger
-	// LinesPerSecond bounds the log lines of one kind; 0 for the usual bound.
+	// LinesPerSecond bounds the log lines of one kind; 0 selects the default.
 	LinesPerSecond int
-	// Exposure bounds what a version may get that turns out to be bad; the usual bounds where
-	// it is zero.
+	// Exposure bounds the requests that a bad version may get; the zero value selects the default.
 	Exposure rollout.Bounds
-	// Collectors are told beside the keeper's own figures.
+	// Collectors are registered with the keeper's own metrics.
 	Collectors []prometheus.Collector
 
-	identity  *wire.Identity
-	machine   *Machine
-	node      *raft.Node
-	servers   *registry.Table
-	sizer     *escrow.Sizer
-	followers *followers
-	docket    blame.Docket
-	metrics   *metrics
-	// lines bounds what is logged of grants and of server records.
-	lines *telemetry.Lines
-	// alive is what this keeper passes on to the leader.
-	alive *aliveBatch
-	// watches are what this keeper knows of roll-outs, where it leads.
-	watches watches
+	identity     *wire.Identity
+	machine      *StateMachine
+	node         *raft.Node
+	servers      *registry.Table
+	allocator    *escrow.Sizer
+	followers    *followers
+	crashTracker blame.Docket
+	metrics      *metrics
+	// limitedLog limits the rate of log lines on grants and server records.
+	limitedLog *telemetry.Lines
+	// heartbeats are those that this keeper will forward to the leader.
+	heartbeats *heartbeatBatch
+	// rolloutControllers hold the active rollouts while this keeper leads.
+	rolloutControllers controllerSet
 	// startedAt is when Prepare was called.
 	startedAt time.Time
-	// copiedAt is when the leader last answered with its records, in Unix
-	// nanoseconds.
+	// copiedAt is when the leader last responded with its records, in Unix nanoseconds.
 	copiedAt atomic.Int64
-	// reports are taken in by reportsLoop.
+	// reports are consumed by reportsLoop.
 	reports chan *pendingReport
-	// stopped is closed when Run ends; calls that wait then end.
+	// stopped is closed when Run ends, which ends waiting calls.
 	stopped chan struct{}
 }
 
-// Prepare opens the folder and the group. Call it before Run; other methods may
-// be called after it.
+// Prepare opens the data directory and the Raft group. Call it before Run; other methods may be
+// called after it.
 func (k *Keeper) Prepare(ctx context.Context) error {
 	if err := k.openIdentity(); err != nil {
 		return err
 	}
 	k.servers = &registry.Table{Heartbeat: k.Heartbeat}
-	k.sizer = &escrow.Sizer{}
+	k.allocator = &escrow.Sizer{}
 	k.followers = newFollowers()
-	k.lines = &telemetry.Lines{PerSecond: k.LinesPerSecond}
-	k.alive, k.startedAt = newAliveBatch(), time.Now()
+	k.limitedLog = &telemetry.Lines{PerSecond: k.LinesPerSecond}
+	k.heartbeats, k.startedAt = newHeartbeatBatch(), time.Now()
 	k.reports = make(chan *pendingReport)
 	k.stopped = make(chan struct{})
-	k.machine = NewMachine()
+	k.machine = NewStateMachine()
 	k.machine.rollouts.Open()
 	k.machine.OnLeaving = func(id string) { k.servers.Leave(id, time.Now()) }
 	t := newTransport(ctx, k.Pool, func(address string) { k.node.PeerRefused(address) })
 	k.node = &raft.Node{
 		Group: Group, ID: k.Address, Incarnation: k.identity.GetIncarnation(),
 		Dir: filepath.Join(k.Data, "group"), Machine: k.machine, Send: t.send,
-		Founders: k.identity.GetFounders(), Heartbeat: heartbeat, Election: election,
-		SnapshotEvery: snapshotEvery, Log: k.Log.Named("group"),
+		Founders: k.identity.GetFounders(), Heartbeat: heartbeatInterval, Election: electionTimeout,
+		SnapshotEvery: entriesPerSnapshot, Log: k.Log.Named("group"),
 	}
 	k.metrics = newMetrics(k)
 	k.metrics.Registry.MustRegister(k.Collectors...)
@@ -121,8 +118,8 @@
 	return nil
 }
 
-// Run serves until ctx ends, then hands leadership over and stops. The context
-// of Prepare must outlive ctx.
+// Run serves until ctx ends, then transfers leadership and stops. The context of Prepare must
+// outlive ctx.
 func (k *Keeper) Run(ctx context.Context) error {
 	for name, receiver := range map[string]any{"Raft": &raftService{k.node}, "Fleet": &service{k}} {
 		if err := k.RPC.Register(name, receiver); err != nil {
@@ -138,13 +135,13 @@
 	tasks, work := errgroup.WithContext(work)
 	tasks.Go(k.RPC.Run)
 	tasks.Go(func() error { return k.node.Run(work) })
-	for _, f := range []func(context.Context) error{k.joinLoop, k.membersLoop, k.sweepLoop, k.copyLoop, k.reportsLoop, k.aliveLoop, k.recordsLoop, k.rolloutsLoop} {
+	for _, f := range []func(context.Context) error{k.joinLoop, k.membersLoop, k.sweepLoop, k.copyLoop, k.reportsLoop, k.forwardLoop, k.recordsLoop, k.rolloutsLoop} {
 		tasks.Go(func() error { return f(work) })
 	}
 	k.Log.Info("Serving.", "address", k.Address, "incarnation", k.identity.GetIncarnation(), "founder", k.identity.GetFounders() != nil)
 	select {
 	case <-ctx.Done():
-		k.handOver()
+		k.transferLeadership()
 	case <-work.Done():
 	}
 	stop()
@@ -153,9 +150,9 @@
 	return tasks.Wait()
 }
 
-// handOver passes leadership on, so that a planned stop costs no election.
-func (k *Keeper) handOver() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+// transferLeadership transfers leadership, so that a planned stop does not cost an election.
+func (k *Keeper) transferLeadership() {
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	k.node.HandOver(ctx)
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -16,48 +16,48 @@
 	"sumachead/internal/rollout"
 )
 
-// keepLeaving bounds the lives of leaving servers that are remembered: the
-// restarts of a large fleet within some hours.
-const keepLeaving = 4096
-
-// Machine is the replicated state. It implements sumachead.StateMachine; its
-// other methods may be called beside Apply. Set OnLeaving before the first use.
-type Machine struct {
-	// OnLeaving is told of each life of a server that leaves. It must not call
-	// the machine.
+// maxLeavingServers bounds the remembered incarnations of leaving servers: the restarts of a large
+// fleet within some hours.
+const maxLeavingServers = 4096
+
+// StateMachine is the replicated state. It implements sumachead.StateMachine; its other methods
+// may be called concurrently with Apply. Set OnLeaving before the first use.
+type StateMachine struct {
+	// OnLeaving is called for each server incarnation that begins to leave. It must not call the
+	// state machine.
 	OnLeaving func(id string)
 
 	mu sync.Mutex // guards the fields below
-	// declaration is in force, packed the same as it is stored.
+	// declaration is the one in force; packed is its stored form.
 	declaration *wire.Declaration
 	packed      *wire.PackedDeclaration
-	book        *escrow.Book
-	// leaving are the newest lives that leave, oldest first; isLeaving holds the
-	// same.
-	leaving   []string
-	isLeaving map[string]bool
-	halls     halls
-	suspects  blame.List
-	rollouts  rollout.Book
-	// changed is closed when another declaration is put in force, an order for a data hall
-	// is taken, a roll-out changes, or a suspect stands otherwise.
+	ledger      *escrow.Book
+	// leaving holds the newest leaving incarnations, oldest first; leavingSet holds the same as a
+	// set.
+	leaving    []string
+	leavingSet map[string]bool
+	halls      hallStates
+	suspects   blame.List
+	rollouts   rollout.Book
+	// changed is closed when a declaration comes into force, a hall order is accepted, a rollout
+	// changes or the standing of a suspect changes.
 	changed chan struct{}
 }
 
-// NewMachine returns the state before the first command.
-func NewMachine() *Machine {
-	return &Machine{
-		declaration: &wire.Declaration{}, packed: &wire.PackedDeclaration{}, book: escrow.NewBook(),
-		isLeaving: make(map[string]bool), changed: make(chan struct{}), rollouts: rollout.Book{Clock: boottime.Clock{}},
+// NewStateMachine returns the state before the first command.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{
+		declaration: &wire.Declaration{}, packed: &wire.PackedDeclaration{}, ledger: escrow.NewBook(),
+		leavingSet: make(map[string]bool), changed: make(chan struct{}), rollouts: rollout.Book{Clock: boottime.Clock{}},
 	}
 }
 
 // Apply implements sumachead.StateMachine.
-func (m *Machine) Apply(_ uint64, command []byte) any {
+func (m *StateMachine) Apply(_ uint64, command []byte) any {
 	c := &wire.FleetCommand{}
 	if err := proto.Unmarshal(command, c); err != nil {
-		// The log is checksummed and written by this package.
-		panic("fleet: a command does not decode: " + err.Error())
+		// The log is checksummed and written only by this package.
+		panic("fleet: decoding a command from the log: " + err.Error())
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,20 +67,20 @@
 	case c.GetGrants() != nil:
 		var replies []*wire.EscrowReply
 		for _, g := range c.GetGrants().GetGrants() {
-			replies = append(replies, m.book.Apply(g))
+			replies = append(replies, m.ledger.Apply(g))
 		}
 		return replies
 	case c.GetLeaving() != nil:
-		m.leave(c.GetLeaving().GetId())
+		m.markLeaving(c.GetLeaving().GetId())
 	case c.GetHall() != nil:
-		reply := m.halls.order(c.GetHall())
+		reply := m.halls.apply(c.GetHall())
 		m.notify()
 		return reply
 	case c.GetSuspects() != nil:
 		m.suspects.Apply(c.GetSuspects())
 		m.notify()
 	case c.GetRollout() != nil:
-		return m.orderRollout(c.GetRollout())
+		return m.applyRolloutOrder(c.GetRollout())
 	case c.GetRolloutStep() != nil:
 		reply := m.rollouts.Step(c.GetRolloutStep())
 		m.notify()
@@ -91,45 +91,44 @@
 	return nil
 }
 
-// declare puts a declaration in force if its number is the highest. The caller
-// holds mu.
-func (m *Machine) declare(p *wire.PackedDeclaration) *wire.DeclareReply {
+// declare puts a declaration in force if its number is the highest. The caller holds mu.
+func (m *StateMachine) declare(p *wire.PackedDeclaration) *wire.DeclareReply {
 	if p.GetNumber() > m.declaration.GetNumber() {
 		if key := m.packed.GetFingerprintKey(); len(key) > 0 {
-			p.FingerprintKey = key // the first one holds
+			p.FingerprintKey = key // the key of the first declaration is kept
 		}
 		d, err := catalog.Unpack(p)
 		if err != nil {
-			panic("fleet: a declaration does not unpack: " + err.Error()) // as above
+			panic("fleet: unpacking a declaration: " + err.Error()) // the log is checksummed, as above
 		}
-		m.put(d, p)
+		m.setDeclaration(d, p)
 	}
 	return &wire.DeclareReply{Number: m.declaration.GetNumber()}
 }
 
-// put puts a declaration in force. The caller holds mu.
-func (m *Machine) put(d *wire.Declaration, p *wire.PackedDeclaration) {
+// setDeclaration puts a declaration in force. The caller holds mu.
+func (m *StateMachine) setDeclaration(d *wire.Declaration, p *wire.PackedDeclaration) {
 	m.declaration, m.packed = d, p
-	m.book.SetTotals(catalog.Totals(d.GetCatalog()))
+	m.ledger.SetTotals(catalog.Totals(d.GetCatalog()))
 	m.notify()
 }
 
 // notify wakes up those who wait for a change. The caller holds mu.
-func (m *Machine) notify() {
+func (m *StateMachine) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// leave notes a server's life that leaves, and forgets the oldest when there are
-// too many. The caller holds mu.
-func (m *Machine) leave(id string) {
-	if m.isLeaving[id] {
+// markLeaving records a server incarnation that leaves, and drops the oldest if there are too
+// many. The caller holds mu.
+func (m *StateMachine) markLeaving(id string) {
+	if m.leavingSet[id] {
 		return
 	}
-	m.isLeaving[id] = true
+	m.leavingSet[id] = true
 	m.leaving = append(m.leaving, id)
-	if len(m.leaving) > keepLeaving {
-		delete(m.isLeaving, m.leaving[0])
+	if len(m.leaving) > maxLeavingServers {
+		delete(m.leavingSet, m.leaving[0])
 		m.leaving = m.leaving[1:]
 	}
 	if m.OnLeaving != nil {
@@ -138,11 +137,11 @@
 }
 
 // Snapshot implements sumachead.StateMachine.
-func (m *Machine) Snapshot() func() ([]byte, error) {
+func (m *StateMachine) Snapshot() func() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := &wire.FleetSnapshot{
-		Declaration: m.packed, Accounts: m.book.Snapshot(), Leaving: append([]string(nil), m.leaving...),
+		Declaration: m.packed, Accounts: m.ledger.Snapshot(), Leaving: append([]string(nil), m.leaving...),
 		Halls: m.halls.snapshot(), Suspects: m.suspects.Since(0), Rollouts: m.rollouts.Snapshot(),
 	}
 	return func() ([]byte, error) {
@@ -152,7 +151,7 @@
 }
 
 // Restore implements sumachead.StateMachine.
-func (m *Machine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	s := &wire.FleetSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
 		return trace.Wrap(err, "decoding a snapshot of the fleet")
@@ -167,53 +166,53 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.book.Restore(s.GetAccounts())
+	m.ledger.Restore(s.GetAccounts())
 	m.halls.restore(s.GetHalls())
 	m.suspects.Restore(s.GetSuspects())
 	m.rollouts.Restore(s.GetRollouts())
-	m.put(d, p)
-	m.leaving, m.isLeaving = nil, make(map[string]bool)
+	m.setDeclaration(d, p)
+	m.leaving, m.leavingSet = nil, make(map[string]bool)
 	for _, id := range s.GetLeaving() {
-		m.leave(id)
+		m.markLeaving(id)
 	}
 	return nil
 }
 
-// Declaration returns the declaration in force, and a channel that is closed when another
-// is, an order for a data hall is taken, a roll-out changes, or a suspect stands otherwise. Its number is 0
-// before the first.
-func (m *Machine) Declaration() (*wire.Declaration, <-chan struct{}) {
+// Declaration returns the declaration in force, whose number is 0 before the first, and a channel
+// that is closed when another one comes into force, a hall order is accepted, a rollout changes or
+// the standing of a suspect changes.
+func (m *StateMachine) Declaration() (*wire.Declaration, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.declaration, m.changed
 }
 
-// Packed returns the declaration in force as it is stored; it must not be
+// PackedDeclaration returns the stored form of the declaration in force, which must not be
 // changed.
-func (m *Machine) Packed() *wire.PackedDeclaration {
+func (m *StateMachine) PackedDeclaration() *wire.PackedDeclaration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.packed
 }
 
-// Leaving reports whether a server's life is known to leave.
-func (m *Machine) Leaving(id string) bool {
+// IsLeaving reports whether a server incarnation is known to be leaving.
+func (m *StateMachine) IsLeaving(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.isLeaving[id]
+	return m.leavingSet[id]
 }
 
-// Size asks a sizer what to grant on a report, by the book as it stands.
-func (m *Machine) Size(s *escrow.Sizer, r *wire.EscrowReport, now time.Time) ([]int64, []*wire.EscrowAnswer) {
+// AllocateGrants returns what the allocator grants on a report, given the current escrow ledger.
+func (m *StateMachine) AllocateGrants(s *escrow.Sizer, r *wire.EscrowReport, now time.Time) ([]int64, []*wire.EscrowAnswer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return s.Size(m.book, r, now)
+	return s.Size(m.ledger, r, now)
 }
 
-// Budget returns what of a workspace's budget is not granted, and its total.
-func (m *Machine) Budget(w sumachead.WorkspaceID) (free, total sumachead.Tokens) {
+// Budget returns the unallocated part of a workspace's budget, and its total.
+func (m *StateMachine) Budget(w sumachead.WorkspaceID) (free, total sumachead.Tokens) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	total, _ = m.book.Total(w)
-	return m.book.Free(w), total
+	total, _ = m.ledger.Total(w)
+	return m.ledger.Free(w), total
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -15,48 +15,48 @@
 )
 
 const (
-	// joinEvery is how often a keeper looks whether it is still a member, and asks
-	// to be taken in if not.
-	joinEvery = 400 * time.Millisecond
-	// membersEvery is how often the leader looks at the members.
-	membersEvery = 250 * time.Millisecond
-	// callTimeout bounds a call to another keeper beyond the time that it may be
-	// held.
+	// joinInterval is how often a keeper checks whether it is still a member, and asks to join if
+	// it is not.
+	joinInterval = 400 * time.Millisecond
+	// memberCheckInterval is how often the leader checks the members.
+	memberCheckInterval = 250 * time.Millisecond
+	// callTimeout bounds a call to another keeper, in addition to the time that the other may hold
+	// it.
 	callTimeout = 700 * time.Millisecond
-	// leaderlessBeforeJoin is how long a member hears no leader before it asks
-	// whether it has been removed: some elections.
-	leaderlessBeforeJoin = 4 * election
-	// replaceAfter is how long a member is silent before a newcomer may take its
-	// place: long enough for a restart.
-	replaceAfter = 4 * time.Second
+	// leaderlessTimeout is how long a member goes without a leader before it asks to join in case
+	// it has been removed: several elections.
+	leaderlessTimeout = 4 * electionTimeout
+	// silentMemberTimeout is how long a member must be silent before a new member may replace it:
+	// long enough for a restart.
+	silentMemberTimeout = 4 * time.Second
 )
 
-// self returns this member as others know it.
+// self returns this keeper as a member of the group.
 func (k *Keeper) self() *wire.Member {
 	return &wire.Member{Id: k.Address, Address: k.Address, Incarnation: k.identity.GetIncarnation()}
 }
 
-// joinLoop asks the others to take this keeper in while it is not a member, and
-// when it has heard no leader for long: it may have been removed meanwhile.
+// joinLoop asks the others to add this keeper to the group while it is not a member, and when it
+// has had no leader for long, since it may have been removed in the meantime.
 func (k *Keeper) joinLoop(ctx context.Context) error {
 	heard := time.Now()
-	return loop.Every(ctx, joinEvery, func() {
+	return loop.Every(ctx, joinInterval, func() {
 		s := k.node.Status()
 		member := raft.IsMember(s.GetMembers(), k.self())
 		if member && s.GetLeader() != "" {
 			heard = time.Now()
 			return
 		}
-		if member && time.Since(heard) < leaderlessBeforeJoin {
+		if member && time.Since(heard) < leaderlessTimeout {
 			return
 		}
-		k.askToJoin(ctx, s)
+		k.requestJoin(ctx, s)
 	})
 }
 
-// askToJoin sends the question to all keepers that are known, and to those that they
-// name as leading: a new self knows the seeds only. The one that leads acts on it.
-func (k *Keeper) askToJoin(ctx context.Context, s *wire.GroupStatus) {
+// requestJoin sends the join request to all known keepers, and to the leaders that they name: a
+// keeper with a new incarnation knows only the seeds. Only the leader acts on it.
+func (k *Keeper) requestJoin(ctx context.Context, s *wire.GroupStatus) {
 	addresses := slices.Clone(k.Seeds())
 	for _, m := range s.GetMembers() {
 		addresses = append(addresses, m.GetAddress())
@@ -68,27 +68,27 @@
 			continue
 		}
 		go func() {
-			leader := keeperclient.Leader(k.askOne(ctx, a))
+			leader := keeperclient.Leader(k.requestJoinFrom(ctx, a))
 			if leader != "" && leader != k.Address && !slices.Contains(addresses, leader) {
-				_ = k.askOne(ctx, leader) // logged there
+				_ = k.requestJoinFrom(ctx, leader) // requestJoinFrom logs the error
 			}
 		}()
 	}
 }
 
-// askOne asks one keeper to take this one in.
-func (k *Keeper) askOne(ctx context.Context, address string) error {
+// requestJoinFrom asks one keeper to add this one to the group.
+func (k *Keeper) requestJoinFrom(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := rpc.Call[wire.Empty](ctx, k.Pool.Get(address), "Fleet.Join", &wire.JoinRequest{Group: string(Group), Member: k.self()})
 	if err != nil {
-		k.Log.Debug("A keeper did not take this one in.", "keeper", address, "error", err)
+		k.Log.Debug("Join request failed.", "keeper", address, "error", err)
 	}
 	return err
 }
 
-// promote gives a learner its vote.
-func promote(ms *wire.Members, id string) *wire.Members {
+// withVote returns the members with a learner turned into a voter.
+func withVote(ms *wire.Members, id string) *wire.Members {
 	next := proto.CloneOf(ms)
 	for _, m := range next.GetMembers() {
 		if m.GetId() == id {
@@ -98,14 +98,13 @@
 	return next
 }
 
-// membersLoop acts at the leader: learners that have caught up get their vote,
-// and a voter that is silent for long loses its place where that costs nothing:
-// with an even number of voters, one fewer bears as many losses. A host that was
-// replaced is so forgotten once its successor votes; one that comes back joins
-// again.
+// membersLoop manages the members while this keeper leads. Learners that have caught up become
+// voters. A voter that is silent for long is removed if the number of voters is even, as the group
+// then tolerates as many failures with one voter fewer. A replaced host is thus removed once its
+// successor votes; if it comes back, it joins again.
 func (k *Keeper) membersLoop(ctx context.Context) error {
 	silentSince := make(map[string]time.Time)
-	return loop.Every(ctx, membersEvery, func() {
+	return loop.Every(ctx, memberCheckInterval, func() {
 		if !k.node.Leading() {
 			clear(silentSince)
 			return
@@ -120,18 +119,18 @@
 				return
 			}
 		}
-		silent := longSilent(members, active, silentSince, k.Address, time.Now())
-		if silent != "" && voters(members)%2 == 0 && voters(members) > minVoters {
+		silent := longestSilent(members, active, silentSince, k.Address, time.Now())
+		if silent != "" && countVoters(members)%2 == 0 && countVoters(members) > minVoters {
 			k.remove(ctx, silent)
 		}
 	})
 }
 
-// minVoters is the smallest number of voters that a silent one is removed from.
+// minVoters is the number of voters at or below which no silent voter is removed.
 const minVoters = 2
 
-// voters counts the members that vote.
-func voters(ms []*wire.Member) int {
+// countVoters counts the voting members.
+func countVoters(ms []*wire.Member) int {
 	n := 0
 	for _, m := range ms {
 		if !m.GetLearner() {
@@ -141,9 +140,10 @@
 	return n
 }
 
-// longSilent returns a member that has been silent for long; empty for none. It
-// keeps since when each one is.
-func longSilent(members []*wire.Member, active map[string]bool, since map[string]time.Time, self string, now time.Time) string {
+// longestSilent returns the member that has been silent longest, if that exceeds
+// silentMemberTimeout, or else an empty string. It maintains in since when the silence of each
+// member began.
+func longestSilent(members []*wire.Member, active map[string]bool, since map[string]time.Time, self string, now time.Time) string {
 	longest := ""
 	for _, m := range members {
 		id := m.GetId()
@@ -154,15 +154,15 @@
 		if _, ok := since[id]; !ok {
 			since[id] = now
 		}
-		if now.Sub(since[id]) >= replaceAfter && (longest == "" || since[id].Before(since[longest])) {
+		if now.Sub(since[id]) >= silentMemberTimeout && (longest == "" || since[id].Before(since[longest])) {
 			longest = id
 		}
 	}
 	return longest
 }
 
-// tryPromote gives a learner its vote if it has caught up; it reports whether that
-// was started.
+// tryPromote makes a learner a voter if it has caught up. It reports whether the change was
+// started.
 func (k *Keeper) tryPromote(ctx context.Context, m *wire.Member) bool {
 	if ok, err := k.node.CaughtUp(ctx, m.GetId()); err != nil || !ok {
 		return false
@@ -171,17 +171,17 @@
 		if !raft.IsMember(ms.GetMembers(), m) {
 			return nil
 		}
-		return promote(ms, m.GetId())
+		return withVote(ms, m.GetId())
 	})
 	if err != nil || !started {
 		return false
 	}
-	k.Log.Info("A keeper has caught up and votes.", "keeper", m.GetId())
+	k.Log.Info("Learner has caught up and is now a voter.", "keeper", m.GetId())
 	return true
 }
 
-// remove takes a member out of the group.
+// remove removes a member from the group.
 func (k *Keeper) remove(ctx context.Context, id string) {
 	started, err := k.node.ChangeMembers(ctx, func(ms *wire.Members) *wire.Members { return raft.Without(ms, id) })
-	k.Log.Info("A silent keeper gives up its place.", "keeper", id, "started", started, "error", err)
+	k.Log.Info("Removing a silent keeper from the group.", "keeper", id, "started", started, "error", err)
 }
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -7,20 +7,19 @@
 	"sumachead/internal/rpc"
 )
 
-// metrics are a keeper's figures.
+// metrics are the metrics of a keeper.
 type metrics struct {
-	// Registry holds them all.
+	// Registry holds all of them.
 	Registry *prometheus.Registry
 
-	// syncs is of synced writes to the log, commits of commands that the group
-	// took.
+	// syncs observes synced writes to the log, commits the commands that the group accepted.
 	syncs   prometheus.Histogram
 	commits prometheus.Histogram
-	// foreign counts what was told of backend servers that is no server's.
-	foreign prometheus.Counter
+	// invalidRecords counts heartbeats and notices that are not valid server records.
+	invalidRecords prometheus.Counter
 }
 
-// newMetrics registers the figures of a keeper.
+// newMetrics registers the metrics of a keeper.
 func newMetrics(k *Keeper) *metrics {
 	histogram := func(name, help string) prometheus.Histogram {
 		return prometheus.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14)})
@@ -30,15 +29,15 @@
 		syncs:    histogram("sumachead_keeper_sync_seconds", "Time of a synced write to the log."),
 		commits:  histogram("sumachead_keeper_commit_seconds", "Time from a command to its result at the leader."),
 	}
-	m.foreign = prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "sumachead_foreign_records_total", Help: "Heartbeats and notices that are no backend server's: fields missing or of another kind, or no start told where it should be.",
+	m.invalidRecords = prometheus.NewCounter(prometheus.CounterOpts{
+		Name: "sumachead_foreign_records_total", Help: "Invalid heartbeats and notices: fields are missing or of the wrong type, or the start time is missing where it is required.",
 	})
-	m.Registry.MustRegister(m.syncs, m.commits, m.foreign)
+	m.Registry.MustRegister(m.syncs, m.commits, m.invalidRecords)
 	m.Registry.MustRegister(rpc.Traffic{})
 	gauge := func(name, help string, f func() float64) {
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, f))
 	}
-	gauge("sumachead_keeper_leading", "1 where this keeper leads.", func() float64 {
+	gauge("sumachead_keeper_leading", "1 if this keeper is the leader, else 0.", func() float64 {
 		if k.node.Leading() {
 			return 1
 		}
@@ -52,11 +51,11 @@
 		return float64(d.GetNumber())
 	})
 	gauge("sumachead_servers", "Registered backend servers that are not leaving.", func() float64 { return float64(k.servers.Count()) })
-	gauge("sumachead_vacated_halls", "Data halls that are vacated.", func() float64 { return float64(k.machine.VacatedHalls()) })
-	gauge("sumachead_suspected_requests", "Requests that run on trial only, since servers have ended under them.", func() float64 {
+	gauge("sumachead_vacated_halls", "Data halls that are vacated.", func() float64 { return float64(k.machine.CountVacatedHalls()) })
+	gauge("sumachead_suspected_requests", "Suspected requests, which run only on trial because servers have crashed under them.", func() float64 {
 		return float64(k.machine.CountSuspects(wire.Standing_STANDING_SUSPECTED))
 	})
-	gauge("sumachead_barred_requests", "Requests that are not run, since servers end under them.", func() float64 {
+	gauge("sumachead_barred_requests", "Barred requests, which are not run because servers crash under them.", func() float64 {
 		return float64(k.machine.CountSuspects(wire.Standing_STANDING_BARRED))
 	})
 	for phase, name := range map[wire.RolloutPhase]string{
@@ -64,12 +63,12 @@
 		wire.RolloutPhase_ROLLOUT_PHASE_COMPLETE: "complete", wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK: "rolled_back",
 	} {
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-			Name: "sumachead_rollouts", Help: "Services by the phase of their newest roll-out to another version.", ConstLabels: prometheus.Labels{"phase": name},
+			Name: "sumachead_rollouts", Help: "Services by the phase of their newest rollout to another version.", ConstLabels: prometheus.Labels{"phase": name},
 		}, func() float64 { return float64(k.machine.CountRollouts(phase)) }))
 	}
 	gauge("sumachead_followers_routers", "Routers that follow this keeper.", func() float64 { return float64(k.followers.count(RoleRouter)) })
 	return m
 }
 
-// Metrics returns the keeper's figures. Call it after Prepare.
+// Metrics returns the keeper's metrics. Call it after Prepare.
 func (k *Keeper) Metrics() *prometheus.Registry { return k.metrics.Registry }
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -13,21 +13,21 @@
 	"sumachead/internal/wal"
 )
 
-// After a kill of all keepers a leader would know no server before the server's next
-// heartbeat, which may take an interval of heartbeats. So each keeper keeps the
-// servers that it knows in a file. What the file says is a hint: a server that has
-// ended meanwhile refuses connections or names another life, and falls silent.
+// After a restart of all keepers, a leader would know no server before the server's next
+// heartbeat, which may take a whole heartbeat interval. Each keeper therefore saves the servers
+// that it knows to a file. The content is only a hint: a server that has ended in the meantime
+// refuses connections or names another incarnation, and becomes silent.
 
 const (
-	// recordsFile is the file in a keeper's folder that holds server records.
+	// recordsFile is the file in the data directory that holds server records.
 	recordsFile = "servers"
-	// recordsEvery is how often the file is written if there is something new: a
-	// server that came just before a kill is known by its next heartbeat.
-	recordsEvery = 2 * time.Second
+	// recordsSaveInterval is how often the file is written if there are changes; a server that
+	// registered just before a crash is known again by its next heartbeat.
+	recordsSaveInterval = 2 * time.Second
 )
 
-// loadRecords takes in the servers that were known before this process started. A
-// file that is missing or damaged is as good as an empty one.
+// loadRecords loads the servers that were known before this process started. A missing or damaged
+// file counts as empty.
 func (k *Keeper) loadRecords() {
 	data, err := wal.ReadFile(filepath.Join(k.Data, recordsFile))
 	if trace.IsNotFound(err) {
@@ -38,36 +38,36 @@
 		err = proto.Unmarshal(data, known)
 	}
 	if err != nil {
-		k.Log.Warn("The servers known before can't be read.", "error", err)
+		k.Log.Warn("Failed to read saved server records.", "error", err)
 		return
 	}
 	k.servers.Load(known.GetServers(), time.Now())
-	k.Log.Info("Servers are known from before.", "servers", len(known.GetServers()))
+	k.Log.Info("Loaded saved server records.", "servers", len(known.GetServers()))
 }
 
-// recordsLoop keeps the file up to date. Each change that followers are told of moves
-// the table's position.
+// recordsLoop keeps the file up to date. Every change that followers are told of advances the
+// table's position.
 func (k *Keeper) recordsLoop(ctx context.Context) error {
 	type position struct {
 		history string
 		version uint64
 	}
 	var written position
-	return loop.Every(ctx, recordsEvery, func() {
+	return loop.Every(ctx, recordsSaveInterval, func() {
 		var now position
 		now.history, now.version = k.servers.Position()
 		if now == written {
 			return
 		}
 		if err := k.saveRecords(); err != nil {
-			k.lines.Info(k.Log, "The servers that are known were not written.", "error", err)
+			k.limitedLog.Info(k.Log, "Failed to save server records.", "error", err)
 			return
 		}
 		written = now
 	})
 }
 
-// saveRecords writes the file; with no server known there is nothing to write.
+// saveRecords writes the file; it does nothing if no server is known.
 func (k *Keeper) saveRecords() error {
 	known := k.servers.Known()
 	if len(known) == 0 {
--- a/internal/fleet/records_test.go
+++ b/internal/fleet/records_test.go
@@ -15,18 +15,18 @@
 	"sumachead/internal/wal"
 )
 
-// After a kill of all keepers the next leader knows the servers that were ready,
-// and those that leave, without a heartbeat.
+// After a restart of all keepers, the next leader knows the ready and the leaving servers without
+// a heartbeat.
 func TestServersAreKnownAfterAKillOfAll(t *testing.T) {
 	c := newCluster(t, 3, 3)
-	leader, _ := c.leader()
+	leader, _ := c.awaitLeader()
 	for i := range 4 {
 		r := &wire.ServerRecord{Id: fmt.Sprint("s", i), Service: "chat", Address: "10.0.0.1:80", Sequence: 1}
 		if err := leader.Beat(context.Background(), r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	c.eventually("all keepers have written four servers", func() bool {
+	c.eventually("four servers saved by all keepers", func() bool {
 		for i := range c.members {
 			data, err := wal.ReadFile(filepath.Join(c.data(i), recordsFile))
 			known := &wire.ServerRecords{}
@@ -45,13 +45,13 @@
 	for i := range c.members {
 		c.start(i, false)
 	}
-	next, _ := c.leader()
-	if diff := cmp.Diff(3, known(next)); diff != "" {
+	next, _ := c.awaitLeader()
+	if diff := cmp.Diff(3, countKnown(next)); diff != "" {
 		t.Fatalf("servers known to the next leader (-want +got):\n%s", diff)
 	}
 }
 
-// A keeper that knows no server has nothing to write, which is no failure.
+// Saving without known servers is not an error.
 func TestNoServersAreNotWritten(t *testing.T) {
 	k := &Keeper{Data: t.TempDir(), servers: &registry.Table{Heartbeat: time.Second}}
 	if err := k.saveRecords(); err != nil {
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -16,30 +16,30 @@
 	"sumachead/internal/rollout"
 )
 
-// A service is rolled out to another version by order. Orders and their phases are part of the
-// log, and so is what may be sent to a version on trial before it may be granted. What routers
-// tell of answers is kept by the leader alone: routers tell totals, so that a new leader has all
-// of it again with their next reports.
+// An operator's order rolls a service out to another version. Orders and their phases are
+// replicated by the log, and so is the number of requests that may be sent to a canary version,
+// before they are granted. The outcomes that routers report are kept only by the leader: routers
+// report totals, so that a new leader has all of them with their next reports.
 
 const (
-	// watchEvery is how often the leader looks at roll-outs: a commit and some calls, far
-	// below the seconds within which a bad version has to be left.
-	watchEvery = 100 * time.Millisecond
-	// repeatWithin is for how long a repeated order is taken for a copy of the one before:
-	// longer than operators send it again, so that a late copy begins nothing anew.
-	repeatWithin = 15 * time.Second
-	// longestRollout bounds the time of an order.
-	longestRollout = 30 * 24 * time.Hour
-	// longestVersion bounds the name of a version.
-	longestVersion = 256
+	// rolloutCheckInterval is how often the leader checks the rollouts: it costs a commit and some
+	// calls, and is far below the seconds within which a bad version has to be rolled back.
+	rolloutCheckInterval = 100 * time.Millisecond
+	// duplicateOrderWindow is how long a repeated order counts as a duplicate of the previous one:
+	// longer than operators retry, so that a late duplicate does not start the rollout again.
+	duplicateOrderWindow = 15 * time.Second
+	// maxRolloutDuration bounds the duration of a rollout.
+	maxRolloutDuration = 30 * 24 * time.Hour
+	// maxVersionLength bounds the length of a version name.
+	maxVersionLength = 256
 )
 
-// usualExposure bounds what a bad version gets where nothing else is set.
-var usualExposure = rollout.Bounds{Share: 0.1, Slack: 20}
+// defaultExposure bounds the requests that a bad version may get if nothing else is set.
+var defaultExposure = rollout.Bounds{Share: 0.1, Slack: 20}
 
-// orderRollout takes an order, unless another one came first or the service is unknown. The
-// caller holds mu.
-func (m *Machine) orderRollout(o *wire.RolloutOrder) *wire.RolloutReply {
+// applyRolloutOrder accepts an order unless another order was accepted first or the service is
+// unknown. The caller holds mu.
+func (m *StateMachine) applyRolloutOrder(o *wire.RolloutOrder) *wire.RolloutReply {
 	if !slices.ContainsFunc(m.declaration.GetCatalog().GetServices(), func(s *wire.Service) bool { return s.GetName() == o.GetService() }) {
 		return &wire.RolloutReply{Unknown: true}
 	}
@@ -48,22 +48,22 @@
 	return reply
 }
 
-// Rollouts returns the newest roll-outs of all services with their ages.
-func (m *Machine) Rollouts() *wire.Rollouts {
+// Rollouts returns the newest rollout of each service with its age.
+func (m *StateMachine) Rollouts() *wire.Rollouts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.rollouts.Tell()
 }
 
-// RolloutsRevision returns the revision of the newest change of a roll-out.
-func (m *Machine) RolloutsRevision() uint64 {
+// RolloutsRevision returns the revision of the newest change of a rollout.
+func (m *StateMachine) RolloutsRevision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.rollouts.Revision()
 }
 
-// CountRollouts counts the roll-outs in a phase.
-func (m *Machine) CountRollouts(p wire.RolloutPhase) int {
+// CountRollouts counts the rollouts in a phase.
+func (m *StateMachine) CountRollouts(p wire.RolloutPhase) int {
 	n := 0
 	for _, r := range m.Rollouts().GetRollouts() {
 		if r.GetPhase() == p {
@@ -73,8 +73,8 @@
 	return n
 }
 
-// going returns the roll-outs that go on, with a new watch of each.
-func (m *Machine) going(b rollout.Bounds) []*rollout.Watch {
+// activeRollouts returns a new controller for each rollout in progress.
+func (m *StateMachine) activeRollouts(b rollout.Bounds) []*rollout.Watch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []*rollout.Watch
@@ -84,21 +84,22 @@
 		}
 		w := &rollout.Watch{Service: r.GetService(), Order: r.GetOrder(), Bounds: b, Exposure: rollout.NewExposure(r)}
 		w.Ordered, w.Deadline = m.rollouts.Times(r.GetService())
-		w.Longest = longestRequest(m.declaration.GetCatalog(), r.GetService())
+		w.Longest = maxRequestTimeout(m.declaration.GetCatalog(), r.GetService())
 		out = append(out, w)
 	}
 	return out
 }
 
-// rolloutOf returns the newest roll-out of a service; nil for none. It must not be changed.
-func (m *Machine) rolloutOf(service string) *wire.Rollout {
+// latestRollout returns the newest rollout of a service, which must not be changed; nil if there
+// is none.
+func (m *StateMachine) latestRollout(service string) *wire.Rollout {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.rollouts.Get(service)
 }
 
-// routesOf calls f for each route that has a share at a service.
-func routesOf(c *wire.Catalog, service string, f func(*wire.Route)) {
+// forEachRoute calls f for each route that sends a share to a service.
+func forEachRoute(c *wire.Catalog, service string, f func(*wire.Route)) {
 	for _, r := range c.GetRoutes() {
 		if slices.ContainsFunc(r.GetShares(), func(s *wire.ServiceShare) bool { return s.GetService() == service }) {
 			f(r)
@@ -106,26 +107,26 @@
 	}
 }
 
-// longestRequest returns how long a request of a service may take.
-func longestRequest(c *wire.Catalog, service string) time.Duration {
-	var most int64
-	routesOf(c, service, func(r *wire.Route) { most = max(most, r.GetTimeoutMillis()) })
-	return time.Duration(most) * time.Millisecond
+// maxRequestTimeout returns the longest timeout of a request to a service.
+func maxRequestTimeout(c *wire.Catalog, service string) time.Duration {
+	var longest int64
+	forEachRoute(c, service, func(r *wire.Route) { longest = max(longest, r.GetTimeoutMillis()) })
+	return time.Duration(longest) * time.Millisecond
 }
 
-// runsOnce reports whether requests of a route may run only once.
-func runsOnce(c *wire.Catalog, service, route string) bool {
+// isNonIdempotent reports whether requests of a route must not be executed twice.
+func isNonIdempotent(c *wire.Catalog, service, route string) bool {
 	once := false
-	routesOf(c, service, func(r *wire.Route) {
+	forEachRoute(c, service, func(r *wire.Route) {
 		once = once || r.GetName() == route && (r.GetKind() == wire.RouteKind_ROUTE_KIND_SINGLE ||
 			r.GetKind() == wire.RouteKind_ROUTE_KIND_STREAM && !r.GetResumable())
 	})
 	return once
 }
 
-// Rollouts returns the newest roll-outs; the answer is linearizable.
+// Rollouts returns the newest rollouts; the read is linearizable.
 func (s *service) Rollouts(_ *wire.Empty, reply *wire.Rollouts) error {
-	if err := s.keeper.leading(); err != nil {
+	if err := s.keeper.requireLeadership(); err != nil {
 		return err
 	}
 	proto.Merge(reply, s.keeper.machine.Rollouts())
@@ -142,89 +143,90 @@
 	return nil
 }
 
-// Sample takes in what a router tells of a service that is rolled out, and grants it requests
-// to the target version. A report of an order that goes on no more is answered with nothing.
+// Sample records a router's report on a service that is being rolled out, and grants the router
+// requests to the target version. The reply to a report on an order that is no longer active is
+// empty.
 func (s *service) Sample(r *wire.RolloutReport, reply *wire.RolloutGrants) error {
 	k := s.keeper
-	if err := k.leading(); err != nil {
+	if err := k.requireLeadership(); err != nil {
 		return err
 	}
-	k.watches.mu.Lock()
-	defer k.watches.mu.Unlock()
-	k.watchGoing()
-	w := k.watches.of[r.GetService()]
+	k.rolloutControllers.mu.Lock()
+	defer k.rolloutControllers.mu.Unlock()
+	k.refreshControllers()
+	w := k.rolloutControllers.byService[r.GetService()]
 	if w == nil || w.Order != r.GetOrder() {
 		return nil
 	}
-	answered, stale := w.Take(r, k.machine.rolloutOf(r.GetService()))
+	answered, stale := w.Take(r, k.machine.latestRollout(r.GetService()))
 	if answered == nil && !stale {
 		d, _ := k.machine.Declaration()
-		once := func(route string) bool { return runsOnce(d.GetCatalog(), r.GetService(), route) }
+		once := func(route string) bool { return isNonIdempotent(d.GetCatalog(), r.GetService(), route) }
 		answered = w.Answer(r, once, k.followers.count(RoleRouter), boottime.Clock{}.Now())
 	}
 	proto.Merge(reply, answered)
 	return nil
 }
 
-// watches are what a leading keeper knows of roll-outs that go on.
-type watches struct {
+// controllerSet holds the controllers of active rollouts on the leading keeper.
+type controllerSet struct {
 	mu sync.Mutex // guards the fields below
-	// history is that of the leader whose watches they are.
+	// history identifies the leader term that the controllers belong to.
 	history string
-	// revision is that of the roll-outs when they were last looked for.
-	revision uint64
-	of       map[string]*rollout.Watch
+	// revision is the rollouts' revision at which the set was last updated.
+	revision  uint64
+	byService map[string]*rollout.Watch
 }
 
-// watchGoing begins to watch the orders that are new to this leader, and ends to watch those
-// that go on no more. The caller holds watches.mu.
-func (k *Keeper) watchGoing() {
-	w := &k.watches
+// refreshControllers adds controllers for orders that are new to this leader, and drops those of
+// rollouts that are no longer active. The caller holds rolloutControllers.mu.
+func (k *Keeper) refreshControllers() {
+	w := &k.rolloutControllers
 	history, revision := k.history(), k.machine.RolloutsRevision()
 	if w.history == history && w.revision == revision {
 		return
 	}
 	of := make(map[string]*rollout.Watch)
-	for _, x := range k.machine.going(k.exposure()) {
-		if old := w.of[x.Service]; old != nil && old.Order == x.Order && w.history == history {
+	for _, x := range k.machine.activeRollouts(k.exposure()) {
+		if old := w.byService[x.Service]; old != nil && old.Order == x.Order && w.history == history {
 			x = old
 		}
 		of[x.Service] = x
 	}
-	w.history, w.revision, w.of = history, revision, of
+	w.history, w.revision, w.byService = history, revision, of
 }
 
-// exposure returns the bounds of what a bad version gets.
+// exposure returns the bounds for the requests that a bad version may get.
 func (k *Keeper) exposure() rollout.Bounds {
-	return cmp.Or(k.Exposure, usualExposure)
+	return cmp.Or(k.Exposure, defaultExposure)
 }
 
-// rolloutsLoop watches the roll-outs where this keeper leads.
+// rolloutsLoop drives the rollouts while this keeper leads.
 func (k *Keeper) rolloutsLoop(ctx context.Context) error {
-	return loop.Every(ctx, watchEvery, func() {
-		if !k.node.Leading() || k.machine.RolloutsRevision() == 0 || k.leading() != nil {
+	return loop.Every(ctx, rolloutCheckInterval, func() {
+		if !k.node.Leading() || k.machine.RolloutsRevision() == 0 || k.requireLeadership() != nil {
 			return
 		}
-		for _, c := range k.rolloutChanges() {
+		for _, c := range k.rolloutCommands() {
 			if _, err := k.propose(c); err != nil {
-				// The next look finds it again.
-				k.lines.Info(k.Log, "A change of a roll-out was not committed.", "error", err)
+				// The next check retries it.
+				k.limitedLog.Info(k.Log, "Failed to commit a rollout change.", "error", err)
 			}
 		}
 	})
 }
 
-// rolloutChanges returns what is to be committed of the roll-outs that go on.
-func (k *Keeper) rolloutChanges() []*wire.FleetCommand {
-	k.watches.mu.Lock()
-	defer k.watches.mu.Unlock()
-	k.watchGoing()
+// rolloutCommands returns the commands that the active rollouts need.
+func (k *Keeper) rolloutCommands() []*wire.FleetCommand {
+	k.rolloutControllers.mu.Lock()
+	defer k.rolloutControllers.mu.Unlock()
+	k.refreshControllers()
 	now := boottime.Clock{}.Now()
 	var out []*wire.FleetCommand
-	for _, w := range k.watches.of {
-		r := k.machine.rolloutOf(w.Service)
+	for _, w := range k.rolloutControllers.byService {
+		r := k.machine.latestRollout(w.Service)
 		w.Exposure.Committed(r.GetAllowed())
-		if step := w.Next(r, k.fleetFor(r), now); step != nil {
+		if step := w.Next(r, k.rolloutFleet(r), now); step != nil {
 			k.Log.Info("A roll-out goes on to its next phase.", "service", w.Service, "target", r.GetTarget(), "phase", step.GetPhase().String(),
 				"reason", step.GetReason(), "allowed", r.GetAllowed(), "reached", w.Exposure.Reached())
 			out = append(out, &wire.FleetCommand{Command: &wire.FleetCommand_RolloutStep{RolloutStep: step}})
@@ -239,10 +241,10 @@
 	return out
 }
 
-// fleetFor returns what is known of the servers of a service that is rolled out, and of the
-// routers.
-func (k *Keeper) fleetFor(r *wire.Rollout) *rollout.Fleet {
-	f := &rollout.Fleet{Routers: k.followers.nodesOf(RoleRouter), Known: k.servers.HeardOfAll(time.Now())}
+// rolloutFleet returns the servers of a service that is being rolled out, and the routers, as far
+// as they are known.
+func (k *Keeper) rolloutFleet(r *wire.Rollout) *rollout.Fleet {
+	f := &rollout.Fleet{Routers: k.followers.nodesWithRole(RoleRouter), Known: k.servers.HeardOfAll(time.Now())}
 	for version, slots := range k.servers.Versions(r.GetService()) {
 		switch {
 		case version == r.GetTarget():
@@ -256,17 +258,17 @@
 	return f
 }
 
-// ErrUnderWay says that another version of the service is rolled out.
+// ErrRolloutInProgress means that the service is being rolled out to another version.
 var ErrUnderWay = trace.AlreadyExists("the service is moved to another version")
 
-// Rollout takes an operator's order to move a service to a version, and returns once it is
-// committed. An order that is repeated changes nothing. The error is a [trace.NotFound] for a
-// service that there is not, a [trace.BadParameter] for an order that can't be used,
-// ErrUnderWay, or leaves open whether the order will be in force. One whose operator has gone,
-// as ctx tells, is not proposed.
+// StartRollout executes an operator's order to roll a service out to a version, and returns once
+// it is committed. A duplicate of an order changes nothing. The error is a [trace.NotFound] for an
+// unknown service, a [trace.BadParameter] for an invalid order, or ErrRolloutInProgress; after any
+// other error the order may or may not come into force. An order is not proposed once ctx has
+// ended, which means that its operator is gone.
 func (k *Keeper) Rollout(ctx context.Context, service, target string, lasts time.Duration) error {
 	err := k.rollout(ctx, service, target, lasts)
-	k.Log.Info("A service is ordered to be moved to a version.", "service", service, "target", target, "lasts", lasts, "error", err)
+	k.Log.Info("Processed a rollout order.", "service", service, "target", target, "lasts", lasts, "error", err)
 	return err
 }
 
@@ -274,9 +276,9 @@
 	switch {
 	case name == "":
 		return trace.BadParameter("no service is named")
-	case target == "" || len(target) > longestVersion:
+	case target == "" || len(target) > maxVersionLength:
 		return trace.BadParameter("no version is named, or one whose name is too long")
-	case lasts < time.Millisecond || lasts > longestRollout:
+	case lasts < time.Millisecond || lasts > maxRolloutDuration:
 		return trace.BadParameter("the time is none for a roll-out: %v", lasts)
 	}
 	for {
@@ -285,7 +287,7 @@
 			return err
 		}
 		switch {
-		case repeats(old, target):
+		case isDuplicateOrder(old, target):
 			return nil
 		case !rollout.Ended(old):
 			return ErrUnderWay
@@ -298,7 +300,7 @@
 			Service: name, Target: target, Against: old.GetRevision(),
 			OrderedUnixMillis: now.UnixMilli(), DeadlineUnixMillis: now.Add(lasts).UnixMilli(),
 		}
-		reply, err := ask[wire.RolloutReply](ctx, k, "Fleet.OrderRollout", o, (&service{k}).OrderRollout)
+		reply, err := callLeader[wire.RolloutReply](ctx, k, "Fleet.OrderRollout", o, (&service{k}).OrderRollout)
 		switch {
 		case err != nil:
 			return err
@@ -310,18 +312,20 @@
 	}
 }
 
-// repeats reports whether an order to move to a version repeats the newest one, nil for none: it
-// goes on, has been completed, or was taken so lately that this is a copy of it.
-func repeats(r *wire.Rollout, target string) bool {
+// isDuplicateOrder reports whether an order to roll out to target duplicates the newest one, r,
+// which may be nil: r has the same target and is in progress, is complete, or was rolled back so
+// recently that this is a retry.
+func isDuplicateOrder(r *wire.Rollout, target string) bool {
 	if r.GetTarget() != target {
 		return false
 	}
-	return r.GetPhase() != wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK || r.GetAgeMillis() < repeatWithin.Milliseconds()
+	return r.GetPhase() != wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK || r.GetAgeMillis() < duplicateOrderWindow.Milliseconds()
 }
 
-// RolloutOf returns the newest roll-out of a service, nil for none; the answer is linearizable.
+// LatestRollout returns the newest rollout of a service, nil if there is none; the read is
+// linearizable.
 func (k *Keeper) RolloutOf(ctx context.Context, name string) (*wire.Rollout, error) {
-	all, err := ask[wire.Rollouts](ctx, k, "Fleet.Rollouts", &wire.Empty{}, (&service{k}).Rollouts)
+	all, err := callLeader[wire.Rollouts](ctx, k, "Fleet.Rollouts", &wire.Empty{}, (&service{k}).Rollouts)
 	if err != nil {
 		return nil, err
 	}
@@ -333,8 +337,8 @@
 	return nil, nil //nolint:nilnil // a service for which there was no order has none
 }
 
-// nodesOf lists the nodes of a role that follow.
-func (f *followers) nodesOf(role string) []string {
+// nodesWithRole lists the followers with a role.
+func (f *followers) nodesWithRole(role string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
--- a/internal/fleet/rollouts_test.go
+++ b/internal/fleet/rollouts_test.go
@@ -13,7 +13,7 @@
 	"sumachead/internal/rollout"
 )
 
-// declareServices puts a declaration in force with some services.
+// declareServices puts a declaration with the named services in force.
 func declareServices(t *testing.T, k *Keeper, names ...string) {
 	t.Helper()
 	d := &wire.Declaration{Number: 1, Catalog: &wire.Catalog{}}
@@ -34,13 +34,13 @@
 		name   string
 		before []order
 		order  order
-		// refused says whether the error is the one that is wanted; nil where there is none.
+		// refused checks for the expected error; nil if none is expected.
 		refused func(error) bool
 	}{
 		{"an order", nil, order{"pool", "v2", time.Minute}, nil},
-		{"repeated", []order{{"pool", "v2", time.Minute}}, order{"pool", "v2", time.Minute}, nil},
-		{"another version under way", []order{{"pool", "v2", time.Minute}}, order{"pool", "v3", time.Minute}, func(err error) bool { return errors.Is(err, ErrUnderWay) }},
-		{"another service under way", []order{{"pool", "v2", time.Minute}}, order{"desk", "v2", time.Minute}, nil},
+		{"duplicate", []order{{"pool", "v2", time.Minute}}, order{"pool", "v2", time.Minute}, nil},
+		{"another version in progress", []order{{"pool", "v2", time.Minute}}, order{"pool", "v3", time.Minute}, func(err error) bool { return errors.Is(err, ErrUnderWay) }},
+		{"another service in progress", []order{{"pool", "v2", time.Minute}}, order{"desk", "v2", time.Minute}, nil},
 		{"an unknown service", nil, order{"none", "v2", time.Minute}, trace.IsNotFound},
 		{"no service", nil, order{"", "v2", time.Minute}, trace.IsBadParameter},
 		{"no version", nil, order{"pool", "", time.Minute}, trace.IsBadParameter},
@@ -50,7 +50,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := newCluster(t, 3, 3)
-			leader, follower := c.leader()
+			leader, follower := c.awaitLeader()
 			declareServices(t, leader.Keeper, "pool", "desk")
 			for _, o := range tt.before {
 				if err := leader.Rollout(context.Background(), o.service, o.target, o.lasts); err != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// An order of which every copy but the first comes late begins nothing anew: neither while it goes
-// on nor shortly after it was rolled back.
+// Late duplicates of an order start nothing: neither while the rollout is in progress nor shortly
+// after it was rolled back.
 func TestALateCopyOfARolloutChangesNothing(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -75,28 +75,28 @@
 		want    bool
 	}{
 		{"none", nil, "v2", false},
-		{"goes on", &wire.Rollout{Target: "v2"}, "v2", true},
+		{"in progress", &wire.Rollout{Target: "v2"}, "v2", true},
 		{"another version", &wire.Rollout{Target: "v3", Phase: wire.RolloutPhase_ROLLOUT_PHASE_COMPLETE}, "v2", false},
 		{"complete, long ago", &wire.Rollout{Target: "v2", Phase: wire.RolloutPhase_ROLLOUT_PHASE_COMPLETE, AgeMillis: 1e9}, "v2", true},
 		{"rolled back just now", &wire.Rollout{Target: "v2", Phase: wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, AgeMillis: 4000}, "v2", true},
 		{"rolled back long ago: a new order", &wire.Rollout{Target: "v2", Phase: wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK, AgeMillis: 60_000}, "v2", false},
 	}
 	for _, tt := range tests {
-		if got := repeats(tt.rollout, tt.target); got != tt.want {
-			t.Errorf("%s: repeats %v, want %v", tt.name, got, tt.want)
+		if got := isDuplicateOrder(tt.rollout, tt.target); got != tt.want {
+			t.Errorf("%s: duplicate %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// An acknowledged order, and how it ended, hold at all keepers after all of them were stopped at
-// once; nobody says anything older.
+// Acknowledged orders and their outcomes survive a restart of all keepers, and no keeper returns
+// an older state afterwards.
 func TestRolloutsOutlastAKillOfAll(t *testing.T) {
 	c := newCluster(t, 3, 3)
-	leader, follower := c.leader()
+	leader, follower := c.awaitLeader()
 	other := slices.Index(c.members, follower)
 	declareServices(t, leader.Keeper, "pool", "desk")
 	ctx := context.Background()
-	// Without servers of the version it is rolled back at its deadline.
+	// Without servers of the target version, a rollout is rolled back at its deadline.
 	for service, lasts := range map[string]time.Duration{"pool": time.Hour, "desk": 50 * time.Millisecond} {
 		if err := follower.Rollout(ctx, service, "v2", lasts); err != nil {
 			t.Fatal(err)
@@ -111,7 +111,7 @@
 		}
 		return r.GetPhase()
 	}
-	c.eventually("one is rolled back", func() bool {
+	c.eventually("a rollout that is rolled back", func() bool {
 		return phaseOf(leader.Keeper, "desk") == wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK
 	})
 	for i := range c.members {
@@ -120,11 +120,11 @@
 	for i := range c.members {
 		c.start(i, false)
 	}
-	c.eventually("both are as they were", func() bool {
+	c.eventually("both rollouts in their old phases", func() bool {
 		k := c.members[other].Keeper
 		return phaseOf(k, "pool") == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL && phaseOf(k, "desk") == wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK
 	})
-	c.eventually("it is not longer than it was", func() bool {
+	c.eventually("an unchanged deadline", func() bool {
 		m := c.members[other].machine
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -133,10 +133,10 @@
 	})
 }
 
-// A follower is told of an order at once, before the servers of the version.
-func TestFollowersAreToldOfRollouts(t *testing.T) {
+// A follower is told of an order at once, without waiting for servers of the target version.
+func TestFollowersReceiveRollouts(t *testing.T) {
 	c := newCluster(t, 2, 2)
-	m, _ := c.leader()
+	m, _ := c.awaitLeader()
 	k := m.Keeper
 	declareServices(t, k, "pool")
 	told := make(chan *wire.FollowReply, 1)
@@ -154,9 +154,9 @@
 	}
 	reply := <-told
 	if took := time.Since(begun); took > 500*time.Millisecond {
-		t.Errorf("told after %v", took)
+		t.Errorf("answered after %v", took)
 	}
 	if r := reply.GetRollouts().GetRollouts(); len(r) != 1 || r[0].GetTarget() != "v2" {
-		t.Errorf("told %v", r)
+		t.Errorf("received %v", r)
 	}
 }
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -20,29 +20,30 @@
 const (
 	// proposeTimeout bounds a command; callers wait about a second.
 	proposeTimeout = 900 * time.Millisecond
-	// maxFollowWait bounds how long a question of a follower is held.
+	// maxFollowWait bounds how long a follow request is held.
 	maxFollowWait = time.Second
-	// leasePause separates looks at whether a new leader has its lease: a round trip
+	// leasePollInterval is how often a new leader checks whether it has its lease: a round trip
 	// between data halls.
-	leasePause = 3 * time.Millisecond
-	// maxRelayWait is the same for relays, to which little is ever new.
+	leasePollInterval = 3 * time.Millisecond
+	// maxRelayWait bounds how long a relay's follow request is held; relays are rarely sent
+	// anything new.
 	maxRelayWait = 4 * time.Second
-	// gatherServer is for how long, for each backend server that is known, changes of
-	// records are gathered for a follower, and gatherServers bounds that: far below
-	// the seconds within which a leaving server gets nothing new.
-	gatherServer  = 100 * time.Microsecond
-	gatherServers = 200 * time.Millisecond
+	// changeDelayPerServer is how long, for each known backend server, record changes are batched
+	// for a follower, up to maxChangeDelay: far below the seconds within which a leaving server
+	// must stop getting requests.
+	changeDelayPerServer = 100 * time.Microsecond
+	maxChangeDelay       = 200 * time.Millisecond
 )
 
-// service takes the calls of other processes that only the leader can answer.
+// service serves the RPCs that only the leader can answer.
 type service struct{ keeper *Keeper }
 
-// Join takes a keeper into the group.
+// Join adds a keeper to the group.
 func (s *service) Join(r *wire.JoinRequest, _ *wire.Empty) error {
 	if r.GetMember().GetId() == "" || r.GetMember().GetIncarnation() == "" {
 		return trace.BadParameter("a member without id or incarnation")
 	}
-	if err := s.keeper.leading(); err != nil {
+	if err := s.keeper.requireLeadership(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
@@ -62,13 +63,13 @@
 	return nil
 }
 
-// Read returns the newest declaration's document, unless the asker has it; the
-// answer is linearizable.
+// Read returns the newest declaration's document, unless the caller already has it; the read is
+// linearizable.
 func (s *service) Read(r *wire.DocumentRequest, reply *wire.PackedDeclaration) error {
-	if err := s.keeper.leading(); err != nil {
+	if err := s.keeper.requireLeadership(); err != nil {
 		return err
 	}
-	p := s.keeper.machine.Packed()
+	p := s.keeper.machine.PackedDeclaration()
 	reply.Number = p.GetNumber()
 	if p.GetNumber() != r.GetNumber() {
 		reply.Source = p.GetSource()
@@ -76,17 +77,17 @@
 	return nil
 }
 
-// Beat takes in a backend server's heartbeat. That a server leaves is committed
-// before it is acknowledged.
+// Beat handles a heartbeat of a backend server. A server's leaving is committed before it is
+// acknowledged.
 func (s *service) Beat(r *wire.ServerRecord, _ *wire.Empty) error {
 	k := s.keeper
-	if err := k.leading(); err != nil {
+	if err := k.requireLeadership(); err != nil {
 		return err
 	}
 	if r.GetAddress() == "" && r.GetBornUnixMillis() == 0 {
-		r.Id = k.servers.Last(registry.Name(r)) // a bare notice is of the life that is known
+		r.Id = k.servers.Last(registry.Name(r)) // a notice without an address or start time refers to the known incarnation
 	}
-	if r.GetState() == wire.ServerState_SERVER_STATE_LEAVING && !k.machine.Leaving(r.GetId()) {
+	if r.GetState() == wire.ServerState_SERVER_STATE_LEAVING && !k.machine.IsLeaving(r.GetId()) {
 		c := &wire.FleetCommand{Command: &wire.FleetCommand_Leaving{Leaving: &wire.ServerLeaving{Id: r.GetId()}}}
 		if _, err := k.propose(c); err != nil {
 			return err
@@ -94,49 +95,49 @@
 		k.Log.Info("A backend server leaves.", "server", r.GetId(), "sequence", r.GetSequence())
 	}
 	if r.GetAddress() == "" {
-		return nil // a bare notice of leaving
+		return nil // only a notice of leaving
 	}
-	return k.noteBeat(r, time.Now())
+	return k.applyRecord(r, time.Now())
 }
 
-// Follow tells a node what it lacks; it is held until there is something. A node that
-// only asks who leads is answered once somebody does, and a relay is told of no servers.
+// Follow returns what a node does not have yet, and blocks until there is something. A request
+// that only locates the leader is answered once there is one, and a relay is sent no servers.
 func (s *service) Follow(r *wire.FollowRequest, reply *wire.FollowReply) error {
 	k := s.keeper
 	if r.GetLocate() {
 		return k.locate(r, reply)
 	}
-	if err := k.leading(); err != nil {
+	if err := k.requireLeadership(); err != nil {
 		return err
 	}
-	pause := k.followers.saw(r, time.Now())
+	pause := k.followers.observe(r, time.Now())
 	switch {
 	case pause > 0:
 		reply.PauseMillis = pause.Milliseconds()
 	case r.GetRole() == RoleRelay:
 		time.Sleep(min(time.Duration(r.GetWaitMillis())*time.Millisecond, maxRelayWait))
 	default:
-		s.hold(r)
+		s.awaitChanges(r)
 	}
-	if err := k.leading(); err != nil {
+	if err := k.requireLeadership(); err != nil {
 		return err
 	}
-	k.describe(r, reply)
+	k.fillControlInfo(r, reply)
 	if r.GetRole() == RoleRelay {
 		return nil
 	}
 	k.servers.Lead(k.history(), time.Now())
 	answer, _ := k.servers.Since(r.GetHistory(), r.GetVersion())
-	// The records are shared with the table, which never changes them.
+	// The records are shared with the table, which never modifies them.
 	reply.History, reply.Version, reply.Whole, reply.Servers = answer.GetHistory(), answer.GetVersion(), answer.GetWhole(), answer.GetServers()
-	k.tellLog(r, reply)
-	reply.Lacking, _ = k.sizer.Lacking(sumachead.NodeID(r.GetNode()), time.Now())
+	k.fillLoggedState(r, reply)
+	reply.Lacking, _ = k.allocator.Lacking(sumachead.NodeID(r.GetNode()), time.Now())
 	return nil
 }
 
-// tellLog tells a node what it lacks of what the log holds.
-func (k *Keeper) tellLog(r *wire.FollowRequest, reply *wire.FollowReply) {
-	if p := k.machine.Packed(); p.GetNumber() > r.GetNumber() {
+// fillLoggedState adds to a reply the replicated state that the node lacks.
+func (k *Keeper) fillLoggedState(r *wire.FollowRequest, reply *wire.FollowReply) {
+	if p := k.machine.PackedDeclaration(); p.GetNumber() > r.GetNumber() {
 		reply.Declaration = &wire.PackedDeclaration{Number: p.GetNumber(), Catalog: p.GetCatalog(), FingerprintKey: p.GetFingerprintKey()}
 	}
 	if k.machine.HallsRevision() > r.GetHallsRevision() {
@@ -150,46 +151,47 @@
 	}
 }
 
-// locate tells a node who leads. Where nobody does, the question is held as long as the
-// node allows, so that it knows as soon as this keeper does without asking often.
+// locate tells a node which keeper leads. If none does, the request is held as long as the node
+// allows, so that the node learns of the leader as soon as this keeper does, without frequent
+// polls.
 func (k *Keeper) locate(r *wire.FollowRequest, reply *wire.FollowReply) error {
 	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, maxFollowWait)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	err := k.leading()
+	err := k.requireLeadership()
 	if err != nil && k.node.AwaitLeader(ctx) == nil {
-		err = k.leading()
+		err = k.requireLeadership()
 	}
-	// A leader that is new has no lease before its first heartbeats are answered.
+	// A new leader has no lease until its first heartbeats are acknowledged.
 	for err != nil && k.node.Leading() && ctx.Err() == nil {
-		time.Sleep(leasePause)
-		err = k.leading()
+		time.Sleep(leasePollInterval)
+		err = k.requireLeadership()
 	}
 	if err != nil {
 		return err
 	}
-	k.describe(r, reply)
+	k.fillControlInfo(r, reply)
 	return nil
 }
 
-// describe tells a node of the fleet's control: who leads, which other keepers there
-// are, how many routers there are, and to a router its relays and its data hall's lenders.
-func (k *Keeper) describe(r *wire.FollowRequest, reply *wire.FollowReply) {
+// fillControlInfo tells a node which keeper leads, which others there are and how many routers
+// follow; it tells a router its relays and the lenders of its data hall as well.
+func (k *Keeper) fillControlInfo(r *wire.FollowRequest, reply *wire.FollowReply) {
 	reply.Keepers = k.node.Status().GetMembers()
 	reply.Leader = k.Address
 	reply.Routers = uint32(k.followers.count(RoleRouter))
 	if r.GetRole() == RoleRouter {
 		reply.Relays = k.followers.relaysFor(r.GetNode())
-		if lenders, digest := k.followers.lendersOf(sumachead.HallID(r.GetHall())); digest != r.GetLendersDigest() {
+		if lenders, digest := k.followers.lendersIn(sumachead.HallID(r.GetHall())); digest != r.GetLendersDigest() {
 			reply.Lenders, reply.LendersDigest = lenders, digest
 		}
 	}
 }
 
-// hold waits while there is nothing new for the node, as long as it allows.
-func (s *service) hold(r *wire.FollowRequest) {
+// awaitChanges blocks until there is something new for the node, as long as it allows.
+func (s *service) awaitChanges(r *wire.FollowRequest) {
 	k := s.keeper
-	// The channel comes first: what changes after it was taken closes it.
+	// Get the channel first, so that it is closed by any change after the checks below.
 	_, changed := k.machine.Declaration()
 	behind := k.isBehind(r)
 	news, servers := k.servers.Since(r.GetHistory(), r.GetVersion())
@@ -197,40 +199,40 @@
 	if behind || news.GetWhole() || len(news.GetServers()) > 0 || wait <= 0 {
 		return
 	}
-	_, lacking := k.sizer.Lacking(sumachead.NodeID(r.GetNode()), time.Now())
+	_, lacking := k.allocator.Lacking(sumachead.NodeID(r.GetNode()), time.Now())
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
 	case <-lacking:
 	case <-changed:
 	case <-servers:
-		// Changes come in series; what follows at once goes along.
-		time.Sleep(min(gatherServer*time.Duration(k.servers.Count()), gatherServers))
+		// Changes come in series; include those that follow at once.
+		time.Sleep(min(changeDelayPerServer*time.Duration(k.servers.Count()), maxChangeDelay))
 	case <-t.C:
 	}
 }
 
-// isBehind reports whether a node lacks something that the log holds.
+// isBehind reports whether a node lacks replicated state.
 func (k *Keeper) isBehind(r *wire.FollowRequest) bool {
 	m := k.machine
-	return m.Packed().GetNumber() > r.GetNumber() || m.HallsRevision() > r.GetHallsRevision() ||
+	return m.PackedDeclaration().GetNumber() > r.GetNumber() || m.HallsRevision() > r.GetHallsRevision() ||
 		m.SuspectsRevision() > r.GetSuspectsRevision() || m.RolloutsRevision() > r.GetRolloutsRevision()
 }
 
-// history names this leader's numbering of server records.
+// history identifies this leader's sequence of server record versions.
 func (k *Keeper) history() string {
 	return fmt.Sprintf("%s/%s/%d", k.Address, k.identity.GetIncarnation(), k.node.Status().GetTerm())
 }
 
-// leading returns nil where this keeper leads and its state is current, and
-// otherwise the error to answer a caller with.
-func (k *Keeper) leading() error {
+// requireLeadership returns nil if this keeper leads and its state is current, or else the error
+// to return to the caller.
+func (k *Keeper) requireLeadership() error {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
 	return keeperclient.EncodeError(k.node.ReadBarrier(ctx))
 }
 
-// propose commits a command and returns what the machine answered.
+// propose commits a command and returns the state machine's result.
 func (k *Keeper) propose(c *wire.FleetCommand) (any, error) {
 	data, err := proto.Marshal(c)
 	if err != nil {
@@ -246,14 +248,14 @@
 	return result, keeperclient.EncodeError(err)
 }
 
-// leader returns the leader's address, waiting for one to be known.
-func (k *Keeper) leader(ctx context.Context) (string, error) {
-	const pollEvery = 20 * time.Millisecond
+// awaitLeader returns the leader's address, and waits until one is known.
+func (k *Keeper) awaitLeader(ctx context.Context) (string, error) {
+	const pollInterval = 20 * time.Millisecond
 	for {
 		if l := k.node.Status().GetLeader(); l != "" {
 			return l, nil
 		}
-		if !loop.Sleep(ctx, pollEvery) {
+		if !loop.Sleep(ctx, pollInterval) {
 			return "", sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonLedgerUnreached, "no keeper leads", time.Now())
 		}
 	}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -11,34 +11,33 @@
 )
 
 const (
-	// sendQueue is how many messages wait for one peer; more are dropped and
-	// sent again by the protocol.
-	sendQueue = 512
-	// sendTimeout bounds one call that carries messages: some heartbeats.
+	// sendQueueSize is how many messages may wait for one peer; further ones are dropped, and Raft
+	// sends them again.
+	sendQueueSize = 512
+	// sendTimeout bounds one call that carries messages: several heartbeat intervals.
 	sendTimeout = time.Second
 	// maxSendBatch bounds the messages of one call.
 	maxSendBatch = 64
-	// forgetPeer is how long a queue without messages is kept.
-	forgetPeer = time.Minute
+	// idlePeerTimeout is how long a queue without messages is kept.
+	idlePeerTimeout = time.Minute
 )
 
-// transport passes messages of the group to the other members, in order and one
-// call at a time for each. A member's id is its address.
+// transport sends Raft messages to the other members, in order and with one call at a time per
+// member. A member's ID is its address.
 type transport struct {
 	// ctx ends the queues' goroutines.
 	ctx  context.Context
 	pool *rpc.Pool
-	// refused is told of an address that refuses connections; it must not
-	// block.
-	refused func(address string)
+	// onRefused is called with an address that refuses connections; it must not block.
+	onRefused func(address string)
 
 	mu sync.Mutex // guards queues
-	// queues are by the address of the member.
+	// queues is keyed by the member's address.
 	queues map[string]chan *wire.RaftMessage
 }
 
 func newTransport(ctx context.Context, pool *rpc.Pool, refused func(string)) *transport {
-	return &transport{ctx: ctx, pool: pool, refused: refused, queues: make(map[string]chan *wire.RaftMessage)}
+	return &transport{ctx: ctx, pool: pool, onRefused: refused, queues: make(map[string]chan *wire.RaftMessage)}
 }
 
 // send queues messages; it never blocks.
@@ -48,7 +47,7 @@
 	for _, m := range ms {
 		q := t.queues[m.GetTo()]
 		if q == nil {
-			q = make(chan *wire.RaftMessage, sendQueue)
+			q = make(chan *wire.RaftMessage, sendQueueSize)
 			t.queues[m.GetTo()] = q
 			go t.run(m.GetTo(), q)
 		}
@@ -59,7 +58,7 @@
 	}
 }
 
-// run sends what is queued for one address until nothing came for long.
+// run sends the queued messages of one address until the queue has been idle for idlePeerTimeout.
 func (t *transport) run(address string, q chan *wire.RaftMessage) {
 	for {
 		select {
@@ -67,17 +66,17 @@
 			return
 		case m := <-q:
 			t.sendBatch(address, q, m)
-		case <-time.After(forgetPeer):
-			if t.forget(address, q) {
+		case <-time.After(idlePeerTimeout):
+			if t.removeIfIdle(address, q) {
 				return
 			}
 		}
 	}
 }
 
-// forget drops the queue of an address unless something has come meanwhile; it
-// reports whether it did.
-func (t *transport) forget(address string, q chan *wire.RaftMessage) bool {
+// removeIfIdle removes the queue of an address unless a message has arrived; it reports whether it
+// did.
+func (t *transport) removeIfIdle(address string, q chan *wire.RaftMessage) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(q) > 0 {
@@ -87,8 +86,8 @@
 	return true
 }
 
-// sendBatch sends m and what waits behind it. A failure drops all that waits:
-// it is old by then, and the protocol sends again.
+// sendBatch sends m and the messages queued behind it. On a failure all queued messages are
+// dropped: they are outdated by then, and Raft sends again.
 func (t *transport) sendBatch(address string, q chan *wire.RaftMessage, m *wire.RaftMessage) {
 	batch := &wire.RaftBatch{Messages: []*wire.RaftMessage{m}}
 	for len(batch.Messages) < maxSendBatch && len(q) > 0 {
@@ -98,7 +97,7 @@
 	defer cancel()
 	if _, err := rpc.Call[wire.Empty](ctx, t.pool.Get(address), "Raft.Step", batch); err != nil {
 		if rpc.IsRefused(err) {
-			t.refused(address)
+			t.onRefused(address)
 		}
 		for len(q) > 0 {
 			<-q
@@ -106,10 +105,10 @@
 	}
 }
 
-// raftService takes in messages from other members.
+// raftService receives messages from other members.
 type raftService struct{ node *raft.Node }
 
-// Step passes a batch to the group.
+// Step passes a batch to the Raft node.
 func (s *raftService) Step(b *wire.RaftBatch, _ *wire.Empty) error {
 	s.node.Step(b.GetMessages())
 	return nil
