--- a/internal/fleet/alive.go
+++ b/internal/fleet/alive.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// NoteForeign counts and logs a heartbeat or notice that is not a valid server record.
+// ReportInvalidRecord counts and logs a heartbeat or notice that is not a valid server record.
 func (k *Keeper) NoteForeign(id, from string, err error) {
 	k.metrics.invalidRecords.Inc()
 	k.limitedLog.Info(k.Log, "Ignored an invalid record of a backend server.", "server", id, "from", from, "error", trace.UserMessage(err))
--- a/internal/fleetclient/call.go
+++ b/internal/fleetclient/call.go
@@ -10,43 +10,43 @@
 	"sumachead/internal/rpc"
 )
 
-// hedgeAfter is how long a call may take before other ways are tried beside
-// it: several times what a commit takes.
-const hedgeAfter = 60 * time.Millisecond
+// hedgeDelay is how long a call may take before another path is tried in parallel: several times
+// the duration of a commit.
+const hedgeDelay = 60 * time.Millisecond
 
-// Call runs a method at the leader. When the reply is late, it looks for another
-// way and calls there as well, so the method must be idempotent. An error leaves
-// open whether it was carried out.
+// Call calls a method at the leader. If the reply is late or the call fails, it searches for
+// another path and calls there as well, so the method must be idempotent. After an error the call
+// may or may not have been executed.
 func Call[R any](ctx context.Context, c *Client, method string, args proto.Message) (*R, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w, err := c.knownWay()
+	w, err := c.currentPath()
 	if err != nil {
 		return nil, err
 	}
 	replies := make(chan callResult[R], 2)
-	callWay := func(w Way) {
-		r, err := rpc.Call[R](ctx, c.through(w), method, args)
+	callPath := func(w Path) {
+		r, err := rpc.Call[R](ctx, c.connection(w), method, args)
 		replies <- callResult[R]{r, err}
 	}
-	go callWay(w)
-	t := time.NewTimer(hedgeAfter)
+	go callPath(w)
+	t := time.NewTimer(hedgeDelay)
 	defer t.Stop()
 	select {
 	case r := <-replies:
 		if r.err == nil {
 			return r.reply, nil
 		}
-		// Failed at once: another way is worth a try.
+		// The call failed early: try another path.
 		replies <- r
 	case <-t.C:
 	}
 	go func() {
-		if other, ok := c.searchWay(ctx); ok {
-			callWay(other)
+		if other, ok := c.searchPath(ctx); ok {
+			callPath(other)
 			return
 		}
-		replies <- callResult[R]{err: trace.ConnectionProblem(nil, "no other way to the leading keeper was found")}
+		replies <- callResult[R]{err: trace.ConnectionProblem(nil, "no other path to the leading keeper was found")}
 	}()
 	first := <-replies
 	if first.err == nil {
@@ -56,18 +56,17 @@
 	return second.reply, second.err
 }
 
-// callResult is how a call over one way ended.
+// callResult is the result of a call over one path.
 type callResult[R any] struct {
 	reply *R
 	err   error
 }
 
-// knownWay returns the way to the leader, or the error of a call for which there
-// is none.
-func (c *Client) knownWay() (Way, error) {
+// currentPath returns the path to the leader, or the error for a call without one.
+func (c *Client) currentPath() (Path, error) {
 	w, ok := c.Way()
 	if !ok {
-		return Way{}, trace.ConnectionProblem(nil, "no way to the leading keeper is known")
+		return Path{}, trace.ConnectionProblem(nil, "no path to the leading keeper is known")
 	}
 	return w, nil
 }
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -1,9 +1,9 @@
 // Package fleetclient connects a node without a disk to the keepers of a fleet.
 //
-// A [Client] finds the leading keeper from a few seeds, directly or, where this
-// node is cut off from the keepers, through relays (search.go); follows the
-// declaration in force and the server records (client.go); and carries calls
-// (call.go), escrow reports among them (escrow.go), to the leader the same way.
+// A [Client] finds the leading keeper from a few seeds, directly or, if a network partition
+// separates this node from the keepers, through relays (search.go). It follows the declaration in
+// force and the server records (client.go), and carries calls (call.go), such as escrow reports
+// (escrow.go), to the leader over the same path.
 package fleetclient
 
 import (
@@ -31,116 +31,117 @@
 )
 
 const (
-	// holdFor is how long the leader may hold a question when nothing is new.
-	// It bounds how late a dead leader or a cut is noticed.
-	holdFor = 600 * time.Millisecond
-	// relayHoldFor is the same for a relay, which only learns of keepers.
-	relayHoldFor = 3 * time.Second
-	// adoptGap is the least time between declarations that a node puts in force:
-	// preparing one takes a small host some ten milliseconds, and a series of
-	// changes must not starve callers. It is far below the seconds in which an
-	// accepted declaration has to be in force.
-	adoptGap = 400 * time.Millisecond
-	// answerWithin bounds an answer beyond its hold.
-	answerWithin = 600 * time.Millisecond
-	// searchPause separates searches in which nobody led: keepers that run hold the
-	// question, so that only those that start just now are asked again so soon.
-	searchPause = 40 * time.Millisecond
-	// searchEach is added to that for each router, so that the searches of a large
-	// fleet do not keep its keepers from electing a leader.
-	searchEach = 2 * time.Millisecond
+	// pollWait is how long the leader may hold a follow request while nothing is new. It bounds
+	// how late a dead leader or a network partition is noticed.
+	pollWait = 600 * time.Millisecond
+	// relayPollWait is the same for a relay, which only follows the set of keepers.
+	relayPollWait = 3 * time.Second
+	// minApplyInterval is the minimum interval between declarations that a node applies: preparing
+	// one takes a small host some ten milliseconds, and a series of changes must not starve
+	// callers. It is far below the seconds within which an accepted declaration has to be in
+	// force.
+	minApplyInterval = 400 * time.Millisecond
+	// responseTimeout bounds a response, in addition to the time for which the request may be
+	// held.
+	responseTimeout = 600 * time.Millisecond
+	// searchRetryInterval separates searches that found no leader. Running keepers hold the
+	// request, so only those that have just started are asked again this soon.
+	searchRetryInterval = 40 * time.Millisecond
+	// searchDelayPerRouter is added to that for each router, so that the searches of a large fleet
+	// do not keep its keepers from electing a leader.
+	searchDelayPerRouter = 2 * time.Millisecond
 )
 
-// Way is how the leading keeper is reached.
-type Way struct {
-	// Relay is the address of the relay to go through; empty for a direct
-	// connection.
+// Path is how the leading keeper is reached.
+type Path struct {
+	// Relay is the address of the relay to connect through; empty for a direct connection.
 	Relay string
-	// Address is the keeper's.
+	// Address is the address of the keeper.
 	Address string
 }
 
 // Client follows the leading keeper. Set the exported fields before Run.
 type Client struct {
 	Node sumachead.NodeID
-	// Role is one of the fleet package's roles; it decides what the leader tells.
+	// Role is one of the roles in package fleet; it determines what the leader sends.
 	Role string
 	Hall sumachead.HallID
-	// RelayAddress is where this node relays connections; empty for none.
+	// RelayAddress is where this node relays connections; empty if it does not.
 	RelayAddress string
-	// LendingAddress returns where this node lends escrow to routers of its data hall;
-	// empty while it does not. Nil for a node that never does.
+	// LendingAddress returns where this node lends escrow to routers of its data hall, or an empty
+	// string while it does not; nil for a node that never lends.
 	LendingAddress func() string
 	// Seeds returns addresses of some keepers.
 	Seeds func() []string
 	Pool  *rpc.Pool
-	// Servers takes in the server records that the leader tells.
+	// Servers is updated with the server records that the leader sends.
 	Servers *registry.Table
-	// Suspects takes in how requests stand that end servers; nil for a node that sends
-	// none.
+	// Suspects is updated with the standings of requests that crash servers; nil for a node that
+	// sends no requests.
 	Suspects *blame.Table
-	// Rollouts takes in the roll-outs that the leader tells; nil for a node that sends none.
+	// Rollouts is updated with the rollouts that the leader sends; nil for a node that sends no
+	// requests.
 	Rollouts *rollout.Sampler
 	Log      hclog.Logger
-	// OnLacking is told of workspaces of which another node lacks escrow; nil
-	// for a node that holds none.
-	OnLacking func([]sumachead.WorkspaceID)
+	// OnReclaim is called with the workspaces for which another node is short of escrow; nil for a
+	// node that holds none.
+	OnReclaim func([]sumachead.WorkspaceID)
 
 	// view is replaced under mu, and never by one with a lower number.
 	view atomic.Pointer[catalog.View]
-	// routers is how many routers the leader last counted.
+	// routers is the number of routers that the leader reported last.
 	routers atomic.Uint32
-	// known is open once there is a declaration.
-	known loop.Gate
-	// lines bounds what is logged of suspects.
-	lines telemetry.Lines
-	// searching makes one of searches that are wanted at the same time.
-	searching singleflight.Group
+	// declared is open once there is a declaration.
+	declared loop.Gate
+	// limitedLog limits the rate of log lines on suspects.
+	limitedLog telemetry.Lines
+	// searchGroup merges concurrent searches into one.
+	searchGroup singleflight.Group
 
 	mu sync.Mutex // guards the fields below
-	// way is the last way that worked; empty when lost.
-	way Way
-	// keepers and relays are the addresses that the leader last named.
+	// path is the last path that worked; empty if it was lost.
+	path Path
+	// keepers and relays are the addresses that the leader sent last.
 	keepers []string
 	relays  []string
-	// lenders are the addresses of the data hall's lenders of escrow, and lendersDigest
+	// lenders are the addresses of the lenders of escrow in this data hall, and lendersDigest is
 	// the leader's digest of them.
 	lenders       []string
 	lendersDigest uint64
-	// heardAt is when the leader last answered.
-	heardAt time.Time
-	// adoptedAt is when the declaration in force was put in force.
-	adoptedAt time.Time
-	// searches counts searches, so that each asks other keepers through relays.
+	// lastResponseAt is when the leader last responded.
+	lastResponseAt time.Time
+	// appliedAt is when the declaration in force was applied.
+	appliedAt time.Time
+	// searches counts searches, so that each asks different keepers through relays.
 	searches int
-	// directAt is when the direct way is to be tried again.
-	directAt time.Time
+	// nextDirectAttempt is when the direct path is to be tried next.
+	nextDirectAttempt time.Time
 }
 
 // View returns the declaration in force; nil before the first.
 func (c *Client) View() *catalog.View { return c.view.Load() }
 
-// Known returns a channel that is closed once there is a declaration.
-func (c *Client) Known() <-chan struct{} { return c.known.Wait() }
+// Declared returns a channel that is closed once there is a declaration.
+func (c *Client) Known() <-chan struct{} { return c.declared.Wait() }
 
-// Routers returns how many routers there are, at least 1.
+// Routers returns the number of routers, at least 1.
 func (c *Client) Routers() int { return max(int(c.routers.Load()), 1) }
 
-// Way returns the way to the leader; ok is false while there is none.
-func (c *Client) Way() (w Way, ok bool) {
+// Path returns the path to the leader; ok is false while there is none.
+func (c *Client) Way() (w Path, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.way, c.way.Address != ""
+	return c.path, c.path.Address != ""
 }
 
-// HeardAt returns when the leader last answered.
+// LastResponseAt returns when the leader last responded.
 func (c *Client) HeardAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heardAt
+	return c.lastResponseAt
 }
 
-// Keepers lists the addresses of the keepers that are known.
+// Keepers returns the addresses of the known keepers.
 func (c *Client) Keepers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,15 +151,15 @@
 	return slices.Compact(all)
 }
 
-// Lenders lists the addresses of the data hall's lenders of escrow, as the leader last
-// named them. The list is not to be changed.
+// Lenders returns the addresses of the lenders of escrow in this data hall, as the leader sent
+// them last. The caller must not change the list.
 func (c *Client) Lenders() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lenders
 }
 
-// Run follows until ctx ends.
+// Run follows the leader until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		w, ok := c.Way()
@@ -169,13 +170,13 @@
 		if c.search(ctx) {
 			continue
 		}
-		loop.Sleep(ctx, searchPause+searchEach*time.Duration(c.Routers()))
+		loop.Sleep(ctx, searchRetryInterval+searchDelayPerRouter*time.Duration(c.Routers()))
 	}
 	return nil
 }
 
-// request is the question that tells what this node has.
-func (c *Client) request(wait time.Duration) *wire.FollowRequest {
+// followRequest returns a request that says what this node already has.
+func (c *Client) followRequest(wait time.Duration) *wire.FollowRequest {
 	history, version := c.Servers.Position()
 	r := &wire.FollowRequest{
 		Node: string(c.Node), Role: c.Role, Hall: string(c.Hall), RelayAddress: c.RelayAddress,
@@ -195,34 +196,34 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r.LendersDigest = c.lendersDigest
-	if left := adoptGap - time.Since(c.adoptedAt); left > 0 {
-		// Whatever is newer is asked for once the time has passed.
+	if left := minApplyInterval - time.Since(c.appliedAt); left > 0 {
+		// Ask for no declaration until the interval has passed.
 		r.Number = math.MaxUint64
 		r.WaitMillis = min(wait, left).Milliseconds()
 	}
 	return r
 }
 
-// through returns the connection to a keeper over a way.
-func (c *Client) through(w Way) *rpc.Client { return c.Pool.GetThrough(w.Relay, w.Address) }
+// connection returns the connection to a keeper over a path.
+func (c *Client) connection(w Path) *rpc.Client { return c.Pool.GetThrough(w.Relay, w.Address) }
 
-// ask puts a question to the keeper at the end of a way.
-func (c *Client) ask(ctx context.Context, w Way, r *wire.FollowRequest) (*wire.FollowReply, error) {
-	return rpc.Call[wire.FollowReply](ctx, c.through(w), "Fleet.Follow", r)
+// sendFollow sends a follow request to the keeper at the end of a path.
+func (c *Client) sendFollow(ctx context.Context, w Path, r *wire.FollowRequest) (*wire.FollowReply, error) {
+	return rpc.Call[wire.FollowReply](ctx, c.connection(w), "Fleet.Follow", r)
 }
 
-// follow asks the leader once; false means that the way is lost.
-func (c *Client) follow(ctx context.Context, w Way) bool {
-	hold := holdFor
+// follow sends one follow request to the leader; false means that the path is lost.
+func (c *Client) follow(ctx context.Context, w Path) bool {
+	hold := pollWait
 	if c.Role == fleet.RoleRelay {
-		hold = relayHoldFor
+		hold = relayPollWait
 	}
-	callCtx, cancel := context.WithTimeout(ctx, hold+answerWithin)
+	callCtx, cancel := context.WithTimeout(ctx, hold+responseTimeout)
 	defer cancel()
-	reply, err := c.ask(callCtx, w, c.request(hold))
+	reply, err := c.sendFollow(callCtx, w, c.followRequest(hold))
 	if err == nil {
-		c.take(reply)
-		c.heard(w, reply)
+		c.applyReply(reply)
+		c.updateFromLeader(w, reply)
 		loop.Sleep(ctx, time.Duration(reply.GetPauseMillis())*time.Millisecond)
 		return true
 	}
@@ -230,59 +231,58 @@
 		return false
 	}
 	if leader := keeperclient.Leader(err); leader != "" && leader != w.Address {
-		c.leave(w, Way{w.Relay, leader})
+		c.replacePath(w, Path{w.Relay, leader})
 		return true
 	}
 	c.Log.Info("The way to the leading keeper is lost.", "address", w.Address, "relay", w.Relay, "error", err)
-	c.leave(w, Way{})
+	c.replacePath(w, Path{})
 	return false
 }
 
-// Refresh asks the leader for what is new, without waiting for something to be.
+// Refresh requests what is new from the leader, without waiting for changes.
 func (c *Client) Refresh(ctx context.Context) error {
-	w, err := c.knownWay()
+	w, err := c.currentPath()
 	if err != nil {
 		return err
 	}
-	reply, err := c.ask(ctx, w, c.request(0))
+	reply, err := c.sendFollow(ctx, w, c.followRequest(0))
 	if err != nil {
 		return err
 	}
-	c.take(reply)
-	c.heard(w, reply)
+	c.applyReply(reply)
+	c.updateFromLeader(w, reply)
 	return nil
 }
 
-// leave gives a way up for another, unless a better one was found while it was
-// asked.
-func (c *Client) leave(w, next Way) {
+// replacePath replaces the path w by next, unless another path has been found in the meantime.
+func (c *Client) replacePath(w, next Path) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.way == w {
-		c.way = next
+	if c.path == w {
+		c.path = next
 	}
 }
 
-// found keeps a way over which the leader has answered a search.
-func (c *Client) found(w Way, r *wire.FollowReply) {
+// setPath stores a path over which the leader has answered a search.
+func (c *Client) setPath(w Path, r *wire.FollowReply) {
 	c.mu.Lock()
-	if c.way != w {
+	if c.path != w {
 		c.Log.Info("The leading keeper is found.", "address", w.Address, "relay", w.Relay)
 	}
-	c.way = w
+	c.path = w
 	c.mu.Unlock()
-	c.heard(w, r)
+	c.updateFromLeader(w, r)
 }
 
-// heard keeps what the leader has told of the ways to it, unless another way has
-// been taken since it was asked.
-func (c *Client) heard(w Way, r *wire.FollowReply) {
+// updateFromLeader stores the addresses in the leader's reply, unless the path has changed since
+// the request.
+func (c *Client) updateFromLeader(w Path, r *wire.FollowReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.way != w {
+	if c.path != w {
 		return
 	}
-	c.heardAt = time.Now()
+	c.lastResponseAt = time.Now()
 	c.keepers = c.keepers[:0]
 	for _, m := range r.GetKeepers() {
 		c.keepers = append(c.keepers, m.GetAddress())
@@ -301,29 +301,30 @@
 	return v == nil || number > v.Number
 }
 
-// unpack puts a declaration in force that is new to this node.
-func (c *Client) unpack(p *wire.PackedDeclaration) {
+// applyPacked unpacks and applies a declaration if it is new to this node.
+func (c *Client) applyPacked(p *wire.PackedDeclaration) {
 	if !c.isNew(p.GetNumber()) {
 		return
 	}
 	d, err := catalog.Unpack(p)
 	if err != nil {
-		c.Log.Error("A declaration can't be read.", "number", p.GetNumber(), "error", err)
+		c.Log.Error("Failed to unpack a declaration.", "number", p.GetNumber(), "error", err)
 		return
 	}
 	c.Adopt(d)
 }
 
-// Adopt puts a declaration in force unless one with a higher number is.
+// ApplyDeclaration puts a declaration in force unless one with the same or a higher number is in
+// force.
 func (c *Client) Adopt(d *wire.Declaration) {
 	v := catalog.NewView(d)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.isNew(v.Number) {
-		return // one that came beside it is newer
+		return // a concurrent call applied a newer one
 	}
 	c.view.Store(v)
-	c.known.Set(true)
-	c.adoptedAt = time.Now()
+	c.declared.Set(true)
+	c.appliedAt = time.Now()
 	c.Log.Info("A declaration is in force.", "number", d.GetNumber(), "routes", len(d.GetCatalog().GetRoutes()))
 }
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -18,32 +18,32 @@
 	"sumachead/internal/rpc"
 )
 
-// fakeKeeper answers questions as a keeper would.
+// fakeKeeper responds to follow requests like a keeper.
 type fakeKeeper struct {
-	// leader is the address that it names; its own where it leads.
+	// leader is the leader's address in its replies; its own address if it leads.
 	leader  string
 	address string
 	number  atomic.Uint64
 	frozen  atomic.Bool
 	reports atomic.Int64
-	// searches counts questions that ask only who leads, contents the others.
+	// searches counts requests that only locate the leader, polls the others.
 	searches atomic.Int64
-	contents atomic.Int64
+	polls    atomic.Int64
 }
 
-func (k *fakeKeeper) hold() {
+func (k *fakeKeeper) blockWhileFrozen() {
 	for k.frozen.Load() {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Follow answers a question.
+// Follow responds to a follow request.
 func (k *fakeKeeper) Follow(q *wire.FollowRequest, reply *wire.FollowReply) error {
-	k.hold()
+	k.blockWhileFrozen()
 	if q.GetLocate() {
 		k.searches.Add(1)
 	} else {
-		k.contents.Add(1)
+		k.polls.Add(1)
 	}
 	if k.leader != k.address {
 		return errors.New("not_leader:" + k.leader)
@@ -58,7 +58,7 @@
 
 // Report counts reports.
 func (k *fakeKeeper) Report(_ *wire.EscrowReport, _ *wire.EscrowReply) error {
-	k.hold()
+	k.blockWhileFrozen()
 	k.reports.Add(1)
 	return nil
 }
@@ -78,7 +78,7 @@
 	serveAs(t, k.address, k)
 }
 
-// serveAs serves what answers as a keeper would.
+// serveAs serves k as the RPC service of a keeper.
 func serveAs(t *testing.T, address string, k any) {
 	t.Helper()
 	s := &rpc.Server{Address: address}
@@ -103,7 +103,7 @@
 	return c
 }
 
-// newClient returns one that follows.
+// newClient returns a client that runs until the test ends.
 func newClient(t *testing.T, seeds ...string) *Client {
 	t.Helper()
 	c := newIdleClient(t, seeds...)
@@ -138,7 +138,7 @@
 	serve(t, leader)
 	serve(t, seed)
 	c := newClient(t, seed.address)
-	eventually(t, "a declaration from a leader that is no seed", func() bool { return c.View() != nil && c.View().Number == 3 })
+	eventually(t, "a declaration from a leader that is not a seed", func() bool { return c.View() != nil && c.View().Number == 3 })
 }
 
 func TestDeclarationNeverGoesBack(t *testing.T) {
@@ -155,8 +155,7 @@
 	}
 }
 
-// Answers of the follow loop, a search and a try of the direct way come side by
-// side.
+// The follow loop, a search and an attempt of the direct path may apply declarations concurrently.
 func TestDeclarationsThatComeSideBySideNeverGoBack(t *testing.T) {
 	c := &Client{Log: hclog.NewNullLogger()}
 	const rounds = 2000
@@ -172,12 +171,12 @@
 		close(start)
 		both.Wait()
 		if got := c.View().Number; got != n+1 {
-			t.Fatalf("number %d is in force after %d was", got, n+1)
+			t.Fatalf("number %d is in force instead of %d", got, n+1)
 		}
 	}
 }
 
-// manyServices is a catalogue that takes some time to prepare.
+// manyServices returns a catalog that takes some time to prepare.
 func manyServices() *wire.Catalog {
 	c := &wire.Catalog{}
 	for i := range 50 {
@@ -186,7 +185,7 @@
 	return c
 }
 
-func TestSeriesOfDeclarationsIsTakenInPieces(t *testing.T) {
+func TestSeriesOfDeclarationsIsThrottled(t *testing.T) {
 	leader := &fakeKeeper{address: freeAddress(t)}
 	leader.leader = leader.address
 	leader.number.Store(1)
@@ -194,18 +193,18 @@
 	c := newClient(t, leader.address)
 	eventually(t, "number 1", func() bool { return c.View() != nil })
 	seen := map[uint64]bool{}
-	for begun := time.Now(); time.Since(begun) < 2*adoptGap; time.Sleep(5 * time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < 2*minApplyInterval; time.Sleep(5 * time.Millisecond) {
 		leader.number.Add(1)
 		seen[c.View().Number] = true
 	}
 	if len(seen) > 4 {
-		t.Fatalf("%d declarations were put in force in %v", len(seen), 2*adoptGap)
+		t.Fatalf("%d declarations were applied in %v", len(seen), 2*minApplyInterval)
 	}
 	newest := leader.number.Load()
 	eventually(t, "the newest one", func() bool { return c.View().Number >= newest })
 }
 
-func TestRelayCarriesWhatTheDirectWayDoesNot(t *testing.T) {
+func TestRelayForwardsOnlyToKeepers(t *testing.T) {
 	leader := &fakeKeeper{address: freeAddress(t)}
 	leader.leader = leader.address
 	leader.number.Store(1)
@@ -224,7 +223,7 @@
 	}
 	eventually(t, "a call through the relay", func() bool { return call(leader.address) == nil })
 	if call(freeAddress(t)) == nil {
-		t.Fatal("a relay passed a call on to an address that is no keeper's")
+		t.Fatal("a relay forwarded a call to an address that is not a keeper's")
 	}
 }
 
--- a/internal/fleetclient/escrow.go
+++ b/internal/fleetclient/escrow.go
@@ -14,64 +14,63 @@
 )
 
 const (
-	// reportEvery is how often a holder tells what it has spent.
-	reportEvery = 700 * time.Millisecond
-	// reportGap is the least time between reports that requests wait for.
-	reportGap = 15 * time.Millisecond
+	// reportInterval is how often a holder of escrow reports what it has spent.
+	reportInterval = 700 * time.Millisecond
+	// minReportInterval is the minimum interval between reports that requests wait for.
+	minReportInterval = 15 * time.Millisecond
 	// reportTimeout bounds a report.
 	reportTimeout = 700 * time.Millisecond
-	// closingTimeout bounds the last report of a holder that stops.
+	// closingTimeout bounds the final report of a holder that stops.
 	closingTimeout = 1500 * time.Millisecond
 )
 
-// Reporter takes a wallet's reports to the ledger and its grants back. Set the
+// Reporter sends a wallet's reports to the ledger and applies the grants in the replies. Set the
 // exported fields before Run.
 type Reporter struct {
 	Client *Client
 	Wallet *escrow.Wallet
 	Log    hclog.Logger
-	// Taken is told how long a report took that the ledger has taken; nil for
-	// nobody.
+	// OnReported is called with the duration of each report that the ledger accepted; may be nil.
 	Taken func(time.Duration)
 
-	boot sumachead.BootID
-	kick chan struct{}
-	// ledger is what is known of the ledger's answers.
-	ledger ledgerTimes
+	boot      sumachead.BootID
+	requested chan struct{}
+	// latency tracks the ledger's response times.
+	latency ledgerLatency
 }
 
 // Prepare opens the wallet. Call it before Run.
 func (r *Reporter) Prepare() {
 	r.boot = sumachead.BootID(uuid.NewString())
-	r.kick = make(chan struct{}, 1)
-	r.Wallet.Kick = r.Kick
-	r.ledger.heardAt = r.Client.HeardAt
-	r.Wallet.Prospect = r.ledger.prospect
-	r.Client.OnLacking = func(ids []sumachead.WorkspaceID) {
+	r.requested = make(chan struct{}, 1)
+	r.Wallet.Kick = r.RequestReport
+	r.latency.lastResponseAt = r.Client.HeardAt
+	r.Wallet.Prospect = r.latency.estimate
+	r.Client.OnReclaim = func(ids []sumachead.WorkspaceID) {
 		if r.Wallet.Touch(ids) {
-			r.Kick()
+			r.RequestReport()
 		}
 	}
 	r.Wallet.Open(r.boot)
 }
 
-// Unreached reports whether the ledger is out of reach.
-func (r *Reporter) Unreached() bool { return r.ledger.unreached(time.Now()) }
+// LedgerUnreachable reports whether the ledger is unreachable.
+func (r *Reporter) Unreached() bool { return r.latency.isUnreachable(time.Now()) }
 
-// Kick asks for a report soon; it does not block.
-func (r *Reporter) Kick() {
+// RequestReport requests a report soon; it does not block.
+func (r *Reporter) RequestReport() {
 	select {
-	case r.kick <- struct{}{}:
+	case r.requested <- struct{}{}:
 	default:
 	}
 }
 
-// Run reports until ctx ends.
+// Run sends reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) error {
-	return loop.EveryOrKicked(ctx, reportEvery, r.kick, reportGap, func() { r.report(ctx) })
+	return loop.EveryOrKicked(ctx, reportInterval, r.requested, minReportInterval, func() { r.report(ctx) })
 }
 
-// report sends what is new.
+// report sends a report if there is something new.
 func (r *Reporter) report(ctx context.Context) {
 	report := r.Wallet.Report(time.Now(), false)
 	if report == nil {
@@ -80,15 +79,15 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	begun := time.Now()
-	r.ledger.asked(begun)
+	r.latency.reportSent(begun)
 	reply, err := Call[wire.EscrowReply](ctx, r.Client, "Fleet.Report", report)
-	r.ledger.answered(time.Now(), err == nil)
+	r.latency.reportEnded(time.Now(), err == nil)
 	if err == nil && r.Taken != nil {
 		r.Taken(time.Since(begun))
 	}
 	if err != nil {
 		r.Wallet.Unsent(report)
-		r.Log.Debug("A report of escrow was not taken.", "positions", len(report.GetPositions()), "error", err)
+		r.Log.Debug("Escrow report failed.", "positions", len(report.GetPositions()), "error", err)
 		return
 	}
 	next := sumachead.BootID(uuid.NewString())
@@ -98,8 +97,7 @@
 	}
 }
 
-// Close returns what has not been spent. Call it after Run has ended and no
-// request is under way.
+// Close returns the unspent escrow. Call it after Run has ended and when no request is in flight.
 func (r *Reporter) Close() {
 	const pause = 50 * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), closingTimeout)
@@ -108,10 +106,10 @@
 	for ctx.Err() == nil {
 		_, err := Call[wire.EscrowReply](ctx, r.Client, "Fleet.Report", report)
 		if err == nil {
-			r.Log.Info("Escrow is returned.", "positions", len(report.GetPositions()))
+			r.Log.Info("Returned unspent escrow.", "positions", len(report.GetPositions()))
 			return
 		}
 		time.Sleep(pause)
 	}
-	r.Log.Warn("Escrow was not returned; the ledger counts it as spent.", "positions", len(report.GetPositions()))
+	r.Log.Warn("Failed to return escrow; the ledger counts it as spent.", "positions", len(report.GetPositions()))
 }
--- a/internal/fleetclient/escrow_test.go
+++ b/internal/fleetclient/escrow_test.go
@@ -16,42 +16,42 @@
 	"sumachead/internal/patience"
 )
 
-// fakeLedger grants what is needed, but for workspaces whose money others hold.
+// fakeLedger grants what is needed, except for workspaces whose tokens other holders have.
 type fakeLedger struct {
 	fakeKeeper
 	routers uint32
-	// short begins the names of workspaces that get nothing before a time.
-	short   string
-	shortTo time.Time
-	asked   atomic.Int64
+	// shortPrefix is the prefix of workspaces that are granted nothing before shortUntil.
+	shortPrefix string
+	shortUntil  time.Time
+	reportsSeen atomic.Int64
 }
 
-// oneLacks is after what time a holder asks again that alone lacks something.
-const oneLacks = 45 * time.Millisecond
+// retryDelay is when a holder with a shortfall asks again if it is the only one.
+const retryDelay = 45 * time.Millisecond
 
-// Follow answers a question.
+// Follow responds to a follow request.
 func (k *fakeLedger) Follow(q *wire.FollowRequest, reply *wire.FollowReply) error {
 	err := k.fakeKeeper.Follow(q, reply)
 	reply.Routers = k.routers
 	return err
 }
 
-// Report answers a report.
+// Report responds to a report.
 func (k *fakeLedger) Report(r *wire.EscrowReport, reply *wire.EscrowReply) error {
-	k.asked.Add(1)
+	k.reportsSeen.Add(1)
 	for _, p := range r.GetPositions() {
 		a := &wire.EscrowAnswer{Workspace: p.GetWorkspace(), Granted: p.GetGranted(), Keep: escrow.NoWish}
-		if !strings.HasPrefix(p.GetWorkspace(), k.short) || time.Now().After(k.shortTo) {
+		if !strings.HasPrefix(p.GetWorkspace(), k.shortPrefix) || time.Now().After(k.shortUntil) {
 			a.Granted += p.GetNeeded()
 		} else if p.GetNeeded() > 0 {
-			reply.AgainMillis = oneLacks.Milliseconds()
+			reply.AgainMillis = retryDelay.Milliseconds()
 		}
 		reply.Answers = append(reply.Answers, a)
 	}
 	return nil
 }
 
-// newReporter returns a wallet whose reports go to a ledger.
+// newReporter returns a wallet whose reports go to the ledger k.
 func newReporter(t *testing.T, k *fakeLedger) *escrow.Wallet {
 	t.Helper()
 	k.address = freeAddress(t)
@@ -75,8 +75,8 @@
 	return w
 }
 
-// reserve asks for money for a request that is of use for some seconds, and returns how long that
-// took; negative where it was refused.
+// reserve reserves tokens for a request with a soft deadline after u, and returns how long that
+// took; the result is negative if the reservation was refused.
 func reserve(w *escrow.Wallet, id sumachead.WorkspaceID, u time.Duration) time.Duration {
 	begun := time.Now()
 	use := patience.Use{InTime: begun.Add(u), Deadline: begun.Add(2 * u)}
@@ -86,13 +86,14 @@
 	return time.Since(begun)
 }
 
-// A lender of a large fleet has the money of many workspaces. That one of them is at its end, so
-// that its requests wait for what others give back, holds up the requests of no other.
+// A lender of a large fleet holds the tokens of many workspaces. When one budget is used up, so
+// that its requests wait for tokens that other holders give back, requests of the other workspaces
+// must not be delayed.
 func TestAWorkspaceThatLacksHoldsUpNoOther(t *testing.T) {
 	for _, routers := range []uint32{4, 102, 384, 1000} {
 		t.Run(fmt.Sprint(routers, " routers"), func(t *testing.T) {
 			t.Parallel()
-			w := newReporter(t, &fakeLedger{routers: routers, short: "ended", shortTo: time.Now().Add(time.Hour)})
+			w := newReporter(t, &fakeLedger{routers: routers, shortPrefix: "ended", shortUntil: time.Now().Add(time.Hour)})
 			stop := time.Now().Add(2 * time.Second)
 			go func() {
 				for time.Now().Before(stop) {
@@ -102,7 +103,7 @@
 			const most = 100 * time.Millisecond
 			for i := 0; time.Now().Before(stop); i++ {
 				if took := reserve(w, sumachead.WorkspaceID(fmt.Sprint("ample-", i)), 500*time.Millisecond); took < 0 || took > most {
-					t.Errorf("the money of workspace %d took %v", i, took)
+					t.Errorf("reserving tokens of workspace %d took %v", i, took)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -110,23 +111,23 @@
 	}
 }
 
-// Money that others give back reaches a request that waits for it soon, in a fleet of any size: few
-// holders lack at a time, however many there are.
+// Tokens that other holders give back soon reach a request that waits for them, in a fleet of any
+// size, as only few holders have a shortfall at a time.
 func TestWhatIsGivenBackIsUsedSoon(t *testing.T) {
 	for _, routers := range []uint32{4, 384, 1000} {
 		t.Run(fmt.Sprint(routers, " routers"), func(t *testing.T) {
 			t.Parallel()
-			k := &fakeLedger{routers: routers, short: "ended", shortTo: time.Now().Add(1500 * time.Millisecond)}
+			k := &fakeLedger{routers: routers, shortPrefix: "ended", shortUntil: time.Now().Add(1500 * time.Millisecond)}
 			w := newReporter(t, k)
 			begun := time.Now()
 			took := reserve(w, "ended", 4*time.Second)
 			const soon = 250 * time.Millisecond
-			if late := begun.Add(took).Sub(k.shortTo); took < 0 || late > soon {
-				t.Errorf("taken %v after it was there, in all %v", late, took)
+			if late := begun.Add(took).Sub(k.shortUntil); took < 0 || late > soon {
+				t.Errorf("reserved %v after the tokens were available, %v in total", late, took)
 			}
 			const mostAsked = 60
-			if n := k.asked.Load(); n > mostAsked {
-				t.Errorf("the ledger was asked %d times within %v", n, took)
+			if n := k.reportsSeen.Load(); n > mostAsked {
+				t.Errorf("the ledger received %d reports within %v", n, took)
 			}
 		})
 	}
--- a/internal/fleetclient/ledgertimes.go
+++ b/internal/fleetclient/ledgertimes.go
@@ -9,47 +9,46 @@
 )
 
 const (
-	// firstAnswer is what a report is expected to take as long as none was answered:
-	// a synced write of a group on slow disks.
-	firstAnswer = 50 * time.Millisecond
-	// answerWeight is the weight of one report in what is expected of the next.
-	answerWeight = 0.2
-	// overdue is how many times what is expected a report may take before the ledger
-	// counts as out of reach since it was sent.
-	overdue = 4
+	// initialLatency is the expected duration of a report before the first response: a synced
+	// write of a Raft group on slow disks.
+	initialLatency = 50 * time.Millisecond
+	// latencyWeight is the weight of one report in the moving average.
+	latencyWeight = 0.2
+	// overdueFactor is how many times its expected duration a report may take before the ledger
+	// counts as unreachable since the report was sent.
+	overdueFactor = 4
 )
 
-// ledgerTimes learns when the ledger answers.
-type ledgerTimes struct {
-	// heardAt returns when the ledger's leader last answered anything.
-	heardAt func() time.Time
+// ledgerLatency tracks when and how fast the ledger responds.
+type ledgerLatency struct {
+	// lastResponseAt returns when the ledger's leader last responded to any call.
+	lastResponseAt func() time.Time
 
 	mu sync.Mutex // guards the fields below
-	// usual is how long reports take that are answered; 0 before the first.
-	usual time.Duration
-	// sentAt is when the report under way was sent; zero when none is.
+	// average is the moving average of the duration of successful reports; 0 before the first.
+	average time.Duration
+	// sentAt is when the report in flight was sent; zero if there is none.
 	sentAt time.Time
-	// failingSince is when the first report was sent that failed after the last one
-	// that did not, and failedAt when the last one failed; zero while the ledger
-	// answers.
+	// failingSince is when the first failed report after the last success was sent, and failedAt
+	// is when the last one failed; failingSince is zero while the ledger responds.
 	failingSince time.Time
 	failedAt     time.Time
 }
 
-// asked notes that a report is sent.
-func (t *ledgerTimes) asked(now time.Time) {
+// reportSent records that a report is sent.
+func (t *ledgerLatency) reportSent(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sentAt = now
 }
 
-// answered notes how the report under way has ended.
-func (t *ledgerTimes) answered(now time.Time, ok bool) {
+// reportEnded records the result of the report in flight.
+func (t *ledgerLatency) reportEnded(now time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	took := now.Sub(t.sentAt)
 	if ok {
-		t.usual = t.expected() + time.Duration(answerWeight*float64(took-t.expected()))
+		t.average = t.expected() + time.Duration(latencyWeight*float64(took-t.expected()))
 		t.failingSince = time.Time{}
 	} else {
 		if t.failingSince.IsZero() {
@@ -60,60 +59,60 @@
 	t.sentAt = time.Time{}
 }
 
-// expected returns how long a report should take. The caller holds mu.
-func (t *ledgerTimes) expected() time.Duration {
-	if t.usual == 0 {
-		return firstAnswer
+// expected returns the expected duration of a report. The caller holds mu.
+func (t *ledgerLatency) expected() time.Duration {
+	if t.average == 0 {
+		return initialLatency
 	}
-	return t.usual
+	return t.average
 }
 
-// outSince returns since when the ledger has been out of reach; zero while it answers,
-// and once its leader has been heard of after the last report that failed. The caller
+// unreachableSince returns since when the ledger has been unreachable. It is zero while the ledger
+// responds, and once its leader has responded to any call after the last failed report. The caller
 // holds mu.
-func (t *ledgerTimes) outSince(now time.Time) time.Time {
-	if !t.failingSince.IsZero() && t.heardAt().After(t.failedAt) {
+func (t *ledgerLatency) unreachableSince(now time.Time) time.Time {
+	if !t.failingSince.IsZero() && t.lastResponseAt().After(t.failedAt) {
 		t.failingSince = time.Time{}
 	}
-	if t.failingSince.IsZero() && !t.sentAt.IsZero() && now.Sub(t.sentAt) > overdue*t.expected() {
+	if t.failingSince.IsZero() && !t.sentAt.IsZero() && now.Sub(t.sentAt) > overdueFactor*t.expected() {
 		return t.sentAt
 	}
 	return t.failingSince
 }
 
-// unreached reports whether the ledger is out of reach.
-func (t *ledgerTimes) unreached(now time.Time) bool {
+// isUnreachable reports whether the ledger is unreachable.
+func (t *ledgerLatency) isUnreachable(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.outSince(now).IsZero()
+	return !t.unreachableSince(now).IsZero()
 }
 
-// prospect returns that of money which a report may ask for from a time on, and which requests
-// have lacked since another.
-func (t *ledgerTimes) prospect(asked, since time.Time) sumachead.Prospect {
-	return ledgerProspect{t, asked, since}
+// estimate returns the estimate for tokens that a report may request from asked on, and that
+// requests have been short of since another time.
+func (t *ledgerLatency) estimate(asked, since time.Time) sumachead.Prospect {
+	return ledgerEstimate{t, asked, since}
 }
 
-// ledgerProspect is the prospect of money. While the ledger answers, it may come with
-// the answer to the next report, which is under way or sent once it may be; a request
-// that did not wait for it would be told to come back where that answer says that the budget
-// has ended (worth refused again 0.0059 with the gap left out, 0.0042 with it: 12 pairs of
-// days on which budgets end, on three deployments). After that, when others have given back or
-// requests have ended, which takes as long again as requests have lacked it. While the
-// ledger does not answer, that holds for the ledger itself.
-type ledgerProspect struct {
-	times *ledgerTimes
-	asked time.Time
-	since time.Time
+// ledgerEstimate estimates when tokens become available. While the ledger responds, they may come
+// with the response to the next report, which is in flight or sent after minReportInterval. A
+// request that did not wait for it would be told to retry even if that response says that the
+// budget is used up: leaving out minReportInterval raises the value that is refused again from
+// 0.0042 to 0.0059. After that response, tokens come when other holders give some back or requests
+// finish, which is assumed to take as long again as requests have been short. While the ledger
+// does not respond, the same assumption applies to the time since it became unreachable.
+type ledgerEstimate struct {
+	latency     *ledgerLatency
+	requestedAt time.Time
+	shortSince  time.Time
 }
 
 // Expect implements sumachead.Prospect.
-func (p ledgerProspect) Expect(now time.Time) (at time.Time, sure bool) {
-	t := p.times
+func (p ledgerEstimate) Expect(now time.Time) (at time.Time, sure bool) {
+	t := p.latency
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if out := t.outSince(now); !out.IsZero() {
+	if out := t.unreachableSince(now); !out.IsZero() {
 		return patience.AsLong{Since: out}.Expect(now)
 	}
-	return patience.Usual{Since: p.since, By: p.asked.Add(reportGap + t.expected())}.Expect(now)
+	return patience.Usual{Since: p.shortSince, By: p.requestedAt.Add(minReportInterval + t.expected())}.Expect(now)
 }
--- a/internal/fleetclient/search.go
+++ b/internal/fleetclient/search.go
@@ -12,36 +12,33 @@
 )
 
 const (
-	// searchTimeout bounds the question to all keepers at once.
+	// searchTimeout bounds a search.
 	searchTimeout = 700 * time.Millisecond
-	// locateHold is how long a keeper may hold the question who leads while nobody
-	// does: what is left of searchTimeout is for the way there and back.
-	locateHold = 500 * time.Millisecond
-	// relayDelay is the head start that direct ways have in a search: some round
-	// trips between data halls.
-	relayDelay = 20 * time.Millisecond
-	// searchMost is how many keepers a search asks directly: enough to find one that
-	// knows the leader. If each search asked all keepers, those of a large fleet that
-	// has lost its leader would be busy with searches.
-	searchMost = 6
-	// searchAtOnce is how many of them are asked at a time: one of these mostly runs
-	// and knows the leader.
-	searchAtOnce = 3
-	// searchStage is the time between these and the next ones: some round trips
-	// between data halls.
-	searchStage = 25 * time.Millisecond
-	// throughEach is how many keepers a search asks through each relay.
-	throughEach = 2
-	// directAgain is how often a node that goes through a relay tries the direct
-	// way.
-	directAgain = 2 * time.Second
+	// locateWait is how long a keeper without a leader may hold a request for the leader's
+	// address; the rest of searchTimeout is left for the round trip.
+	locateWait = 500 * time.Millisecond
+	// relaySearchDelay is the head start of direct paths in a search: some round trips between
+	// data halls.
+	relaySearchDelay = 20 * time.Millisecond
+	// maxSearchedKeepers is how many keepers a search asks directly: enough to find one that knows
+	// the leader. If each search asked all keepers, the searches of a large fleet that has lost
+	// its leader would overload them.
+	maxSearchedKeepers = 6
+	// searchBatchSize is how many of them are asked at a time: usually one of these runs and knows
+	// the leader.
+	searchBatchSize = 3
+	// searchBatchInterval is the time between batches: some round trips between data halls.
+	searchBatchInterval = 25 * time.Millisecond
+	// keepersPerRelay is how many keepers a search asks through each relay.
+	keepersPerRelay = 2
+	// directRetryInterval is how often a node that connects through a relay tries the direct path.
+	directRetryInterval = 2 * time.Second
 )
 
-// search asks keepers over several ways, some of them later than others, and takes
-// the first answer of a leader; false means that nobody led. Searches that are wanted
-// at the same time are one.
+// search asks keepers over several paths, some of them with a delay, and uses the first response
+// of a leader; false means that no leader was found. Concurrent searches are merged into one.
 func (c *Client) search(ctx context.Context) bool {
-	done := c.searching.DoChan("", func() (any, error) {
+	done := c.searchGroup.DoChan("", func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), searchTimeout)
 		defer cancel()
 		return c.searchOnce(ctx), nil
@@ -54,151 +51,151 @@
 	}
 }
 
-// searchOnce asks over all ways who leads, and keeps the way of the first answer of
-// a leader.
+// searchOnce asks for the leader over all candidate paths, and stores the path of the first
+// response of a leader.
 func (c *Client) searchOnce(ctx context.Context) bool {
-	ws := c.ways()
-	answers := make(chan *answer, len(ws))
-	s := &searching{client: c, request: c.request(0), asked: make(map[Way]bool)}
+	ws := c.candidatePaths()
+	answers := make(chan *leaderReply, len(ws))
+	s := &leaderSearch{client: c, request: c.followRequest(0), queried: make(map[Path]bool)}
 	s.request.Locate = true
-	s.request.WaitMillis = locateHold.Milliseconds()
+	s.request.WaitMillis = locateWait.Milliseconds()
 	for _, w := range ws {
-		go func() { answers <- s.ask(ctx, w) }()
+		go func() { answers <- s.query(ctx, w) }()
 	}
 	for range ws {
 		a := <-answers
 		if a != nil {
 			c.routers.Store(a.reply.GetRouters())
-			c.found(a.way, a.reply)
+			c.setPath(a.path, a.reply)
 			return true
 		}
 	}
 	return false
 }
 
-// answer is a leader's answer to a search, and over which way it came.
-type answer struct {
+// leaderReply is a leader's response to a search and the path that it came over.
+type leaderReply struct {
 	reply *wire.FollowReply
-	way   Way
+	path  Path
 }
 
-// delayedWay is a way that a search asks after some time.
-type delayedWay struct {
-	Way
-	// after counts from the start of the search.
-	after time.Duration
+// delayedPath is a path that a search tries after a delay.
+type delayedPath struct {
+	Path
+	// delay counts from the start of the search.
+	delay time.Duration
 }
 
-// ways lists the ways that a search asks: some keepers directly, and a few through
-// each relay, others for each search. A keeper that does not lead names the one
-// that does, so that asking all of them through all relays would tell no more. An
-// answer ends the search, so that ways with a later time are mostly not asked.
-func (c *Client) ways() []delayedWay {
+// candidatePaths returns the paths that a search tries: some keepers directly, and a few through
+// each relay, which differ from search to search. A keeper that does not lead names the leader, so
+// asking all keepers through all relays would add nothing. A response ends the search, so paths
+// with a longer delay are rarely tried.
+func (c *Client) candidatePaths() []delayedPath {
 	keepers := c.Keepers()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	first := c.searches + int(c.spread())
-	var ws []delayedWay
-	for i := range min(searchMost, len(keepers)) {
-		after := time.Duration(i/searchAtOnce) * searchStage
-		ws = append(ws, delayedWay{Way{"", keepers[(first+i)%len(keepers)]}, after})
+	first := c.searches + int(c.keeperOffset())
+	var ws []delayedPath
+	for i := range min(maxSearchedKeepers, len(keepers)) {
+		after := time.Duration(i/searchBatchSize) * searchBatchInterval
+		ws = append(ws, delayedPath{Path{"", keepers[(first+i)%len(keepers)]}, after})
 	}
 	for i, r := range c.relays {
-		for j := range min(throughEach, len(keepers)) {
-			ws = append(ws, delayedWay{Way{r, keepers[(first+i+j)%len(keepers)]}, relayDelay})
+		for j := range min(keepersPerRelay, len(keepers)) {
+			ws = append(ws, delayedPath{Path{r, keepers[(first+i+j)%len(keepers)]}, relaySearchDelay})
 		}
 	}
 	c.searches++
 	return ws
 }
 
-// spread returns a number by which nodes begin their searches at different keepers.
-func (c *Client) spread() uint16 {
+// keeperOffset returns a number derived from the node ID, so that nodes start their searches at
+// different keepers.
+func (c *Client) keeperOffset() uint16 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(c.Node))
 	return uint16(h.Sum32())
 }
 
-// searching is one search.
-type searching struct {
+// leaderSearch is the state of one search.
+type leaderSearch struct {
 	client *Client
-	// request asks only who leads.
+	// request only asks who leads.
 	request *wire.FollowRequest
 
-	mu sync.Mutex // guards asked
-	// asked are the ways that were asked or are about to be.
-	asked map[Way]bool
+	mu sync.Mutex // guards queried
+	// queried holds the paths that were tried or are about to be.
+	queried map[Path]bool
 }
 
-// claim reports whether a way has not been asked in this search, and notes that it
-// is asked now.
-func (s *searching) claim(w Way) bool {
+// claim marks a path as tried, and reports whether it had not been tried in this search before.
+func (s *leaderSearch) claim(w Path) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.asked[w] {
+	if s.queried[w] {
 		return false
 	}
-	s.asked[w] = true
+	s.queried[w] = true
 	return true
 }
 
-// ask asks a keeper, and the one that it names if it does not lead; nil when
-// neither answered as the leader, or that one has been asked already.
-func (s *searching) ask(ctx context.Context, d delayedWay) *answer {
-	if !loop.Sleep(ctx, d.after) {
+// query asks a keeper, and then the leader that it names if it does not lead itself. It returns
+// nil if neither responded as the leader, or if that leader has already been asked.
+func (s *leaderSearch) query(ctx context.Context, d delayedPath) *leaderReply {
+	if !loop.Sleep(ctx, d.delay) {
 		return nil
 	}
-	w := d.Way
+	w := d.Path
 	if !s.claim(w) {
 		return nil
 	}
-	reply, err := s.client.ask(ctx, w, s.request)
+	reply, err := s.client.sendFollow(ctx, w, s.request)
 	if leader := keeperclient.Leader(err); leader != "" && leader != w.Address {
-		// The seeds need not hold the leader.
+		// The leader need not be one of the seeds.
 		w.Address = leader
 		if !s.claim(w) {
 			return nil
 		}
-		reply, err = s.client.ask(ctx, w, s.request)
+		reply, err = s.client.sendFollow(ctx, w, s.request)
 	}
 	if err != nil {
 		return nil
 	}
-	return &answer{reply, w}
+	return &leaderReply{reply, w}
 }
 
-// searchWay looks for a way to the leader, whether or not one is known.
-func (c *Client) searchWay(ctx context.Context) (Way, bool) {
+// searchPath searches for a path to the leader, even if one is known.
+func (c *Client) searchPath(ctx context.Context) (Path, bool) {
 	if !c.search(ctx) {
-		return Way{}, false
+		return Path{}, false
 	}
 	return c.Way()
 }
 
-// tryDirect goes back from a relay to the direct way once that works.
-func (c *Client) tryDirect(ctx context.Context, w Way) {
-	if w.Relay == "" || !c.directDue(time.Now()) {
+// tryDirect switches from a relayed path to the direct path once that works.
+func (c *Client) tryDirect(ctx context.Context, w Path) {
+	if w.Relay == "" || !c.isDirectAttemptDue(time.Now()) {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 		defer cancel()
-		direct := Way{"", w.Address}
-		if reply, err := c.ask(ctx, direct, c.request(0)); err == nil {
-			c.take(reply)
-			c.found(direct, reply)
+		direct := Path{"", w.Address}
+		if reply, err := c.sendFollow(ctx, direct, c.followRequest(0)); err == nil {
+			c.applyReply(reply)
+			c.setPath(direct, reply)
 		}
 	}()
 }
 
-// directDue reports whether the direct way is to be tried now, and sets when it
-// is the next time.
-func (c *Client) directDue(now time.Time) bool {
+// isDirectAttemptDue reports whether the direct path should be tried now, and schedules the next
+// attempt.
+func (c *Client) isDirectAttemptDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !now.After(c.directAt) {
+	if !now.After(c.nextDirectAttempt) {
 		return false
 	}
-	c.directAt = now.Add(directAgain)
+	c.nextDirectAttempt = now.Add(directRetryInterval)
 	return true
 }
--- a/internal/fleetclient/search_test.go
+++ b/internal/fleetclient/search_test.go
@@ -10,9 +10,8 @@
 	"sumachead/internal/rpc"
 )
 
-// In a large fleet that has lost its leader, what searches ask must not keep the
-// keepers busy: the leader is asked once, whoever names it, and the others a few at
-// a time.
+// In a large fleet that has lost its leader, searches must not overload the keepers: the leader is
+// asked once, whichever keeper names it, and the others a few at a time.
 func TestSearchAsksLittle(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -38,26 +37,26 @@
 			if !c.search(t.Context()) {
 				t.Fatal("no leader was found")
 			}
-			time.Sleep(4 * searchStage) // nothing may follow
+			time.Sleep(4 * searchBatchInterval) // no request may follow
 			if diff := cmp.Diff(int64(1), leader.searches.Load()); diff != "" {
-				t.Errorf("questions at the leader (-want +got):\n%s", diff)
+				t.Errorf("requests at the leader (-want +got):\n%s", diff)
 			}
 			asked := int64(0)
 			for _, k := range others {
 				asked += k.searches.Load()
 			}
-			if asked > searchMost {
-				t.Errorf("%d questions at other keepers, at most %d expected", asked, searchMost)
+			if asked > maxSearchedKeepers {
+				t.Errorf("%d requests at other keepers, want at most %d", asked, maxSearchedKeepers)
 			}
-			if leader.contents.Load() != 0 {
-				t.Error("a search asked for more than who leads")
+			if leader.polls.Load() != 0 {
+				t.Error("a search asked for more than the leader's address")
 			}
 		})
 	}
 }
 
-// A node that went through a relay stays on the direct way once that works again,
-// also when an answer over the relay was still under way then.
+// A node on a relayed path switches to the direct path once that works again and keeps it, even if
+// a response over the relay was still in flight.
 func TestDirectWayIsKept(t *testing.T) {
 	leader := &fakeKeeper{address: freeAddress(t)}
 	leader.leader = leader.address
@@ -65,10 +64,10 @@
 	relay := &rpc.Relay{Address: freeAddress(t), MaxConns: 4, Allowed: func(string) bool { return true }}
 	go func() { _ = relay.Run(t.Context()) }()
 	c := newIdleClient(t, leader.address)
-	overRelay := Way{relay.Address, leader.address}
-	c.way = overRelay
-	eventually(t, "the relay carries", func() bool { return c.follow(t.Context(), overRelay) })
-	c.way, c.directAt = overRelay, time.Time{}
+	overRelay := Path{relay.Address, leader.address}
+	c.path = overRelay
+	eventually(t, "a call through the relay", func() bool { return c.follow(t.Context(), overRelay) })
+	c.path, c.nextDirectAttempt = overRelay, time.Time{}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = c.Run(ctx) }()
@@ -76,11 +75,11 @@
 		w, ok := c.Way()
 		return ok && w.Relay == ""
 	}
-	eventually(t, "the direct way is taken", direct)
+	eventually(t, "the direct path", direct)
 	for range 20 {
 		time.Sleep(20 * time.Millisecond)
 		if !direct() {
-			t.Fatal("the direct way was left again")
+			t.Fatal("the client left the direct path")
 		}
 	}
 }
--- a/internal/fleetclient/take.go
+++ b/internal/fleetclient/take.go
@@ -7,34 +7,33 @@
 	"sumachead/api/wire"
 )
 
-// What the leading keeper tells is put in force here.
+// This file applies the leading keeper's replies.
 
-// take puts an answer in force. What is known never goes back: a declaration
-// with a lower number is passed over.
-func (c *Client) take(r *wire.FollowReply) {
-	// Halls, suspects and roll-outs come before the declaration, with which a router begins to
-	// take callers, and before servers, which may be of a version that is on trial.
-	c.takeHalls(r.GetHalls())
-	c.takeRollouts(r.GetRollouts())
+// applyReply applies a reply. State never goes back: a declaration with a lower number is ignored.
+func (c *Client) applyReply(r *wire.FollowReply) {
+	// Apply halls, suspects and rollouts before the declaration, after which a router accepts
+	// callers, and before servers, which may run a canary version.
+	c.applyHalls(r.GetHalls())
+	c.applyRollouts(r.GetRollouts())
 	c.TakeSuspects(r.GetSuspects())
 	c.Servers.Take(r, time.Now())
 	c.routers.Store(r.GetRouters())
 	if p := r.GetDeclaration(); p != nil {
-		c.unpack(p)
+		c.applyPacked(p)
 	}
-	c.tellLacking(r.GetLacking())
+	c.notifyReclaim(r.GetLacking())
 }
 
-// takeHalls puts the states of data halls in force; nil changes nothing.
-func (c *Client) takeHalls(s *wire.HallStates) {
+// applyHalls applies the states of data halls; nil changes nothing.
+func (c *Client) applyHalls(s *wire.HallStates) {
 	for _, x := range c.Servers.TakeHalls(s, time.Now()) {
-		c.Log.Info("A data hall's state is in force.", "hall", x.GetHall(), "vacated", x.GetVacated(), "revision", x.GetRevision(),
+		c.Log.Info("State of a data hall in force.", "hall", x.GetHall(), "vacated", x.GetVacated(), "revision", x.GetRevision(),
 			"age", time.Duration(x.GetAgeMillis())*time.Millisecond)
 	}
 }
 
-// takeRollouts puts roll-outs in force; nil changes nothing.
-func (c *Client) takeRollouts(s *wire.Rollouts) {
+// applyRollouts applies rollouts; nil changes nothing.
+func (c *Client) applyRollouts(s *wire.Rollouts) {
 	if s == nil {
 		return
 	}
@@ -47,25 +46,25 @@
 	}
 }
 
-// TakeSuspects puts how requests stand in force that end servers; nil changes nothing.
+// ApplySuspects applies the standings of requests that crash servers; nil changes nothing.
 func (c *Client) TakeSuspects(s *wire.Suspects) {
 	if c.Suspects == nil || s == nil {
 		return
 	}
 	for _, x := range c.Suspects.Take(s) {
-		c.lines.Info(c.Log, "How a request stands is in force.", "fingerprint", sumachead.Fingerprint(x.GetFingerprint()).String(),
+		c.limitedLog.Info(c.Log, "Standing of a request in force.", "fingerprint", sumachead.Fingerprint(x.GetFingerprint()).String(),
 			"standing", x.GetStanding().String(), "servers", x.GetServers(), "revision", x.GetRevision())
 	}
 }
 
-// tellLacking passes on of which workspaces another node lacks escrow.
-func (c *Client) tellLacking(names []string) {
-	if len(names) == 0 || c.OnLacking == nil {
+// notifyReclaim passes on for which workspaces another node is short of escrow.
+func (c *Client) notifyReclaim(names []string) {
+	if len(names) == 0 || c.OnReclaim == nil {
 		return
 	}
 	ids := make([]sumachead.WorkspaceID, 0, len(names))
 	for _, id := range names {
 		ids = append(ids, sumachead.WorkspaceID(id))
 	}
-	c.OnLacking(ids)
+	c.OnReclaim(ids)
 }
