--- a/internal/fleet/alive.go
+++ b/internal/fleet/alive.go
@@ -142,13 +142,13 @@
 	k.servers.Alive(report, now)
 	for _, r := range report.GetRecords() {
 		if err := k.applyRecord(r, now); err != nil {
-			k.NoteForeign(r.GetId(), "another keeper", err)
+			k.ReportInvalidRecord(r.GetId(), "another keeper", err)
 		}
 	}
 }
 
 // ReportInvalidRecord counts and logs a heartbeat or notice that is not a valid server record.
-func (k *Keeper) NoteForeign(id, from string, err error) {
+func (k *Keeper) ReportInvalidRecord(id, from string, err error) {
 	k.metrics.invalidRecords.Inc()
 	k.limitedLog.Info(k.Log, "Ignored an invalid record of a backend server.", "server", id, "from", from, "error", trace.UserMessage(err))
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -74,7 +74,7 @@
 	c.t.Helper()
 	pool := &rpc.Pool{}
 	k := &Keeper{
-		Node: sumachead.NodeID(fmt.Sprint("core-", i)), Address: c.addresses[i], Data: c.data(i),
+		Node: sumachead.NodeID(fmt.Sprint("core-", i)), Address: c.addresses[i], DataDir: c.data(i),
 		Seeds: func() []string { return c.founders }, Heartbeat: time.Second,
 		RPC: &rpc.Server{Address: c.addresses[i]}, Pool: pool, Log: hclog.NewNullLogger(),
 	}
--- a/internal/fleet/followers.go
+++ b/internal/fleet/followers.go
@@ -177,7 +177,7 @@
 		}
 	}
 	for _, rs := range byHall {
-		slices.SortFunc(rs, func(a, b string) int { return cmp.Compare(Rank(node, a), Rank(node, b)) })
+		slices.SortFunc(rs, func(a, b string) int { return cmp.Compare(RendezvousHash(node, a), RendezvousHash(node, b)) })
 	}
 	var out []string
 	for i := 0; len(out) < relaysPerRouter; i++ {
@@ -227,7 +227,7 @@
 
 // RendezvousHash scores a choice for a chooser (rendezvous hashing): each chooser takes the choice
 // with the lowest score. Scores differ between choosers and are the same in all processes.
-func Rank(chooser, choice string) uint64 {
+func RendezvousHash(chooser, choice string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(chooser))
 	_, _ = h.Write([]byte{0})
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -25,7 +25,7 @@
 // Supervisor keeps a keeper running on a disk that may fail temporarily. After a failed write the
 // content of the disk is unknown, so the keeper steps down, and a new one starts from what can be
 // read. Set the exported fields before Run.
-type Host struct {
+type Supervisor struct {
 	// New returns a keeper on which Prepare has not been called.
 	New func() *Keeper
 	Log hclog.Logger
@@ -34,10 +34,10 @@
 }
 
 // Keeper returns the running keeper; nil if there is none.
-func (h *Host) Keeper() *Keeper { return h.current.Load() }
+func (h *Supervisor) Keeper() *Keeper { return h.current.Load() }
 
 // Run runs keepers, one after the other, until ctx ends or an error is permanent.
-func (h *Host) Run(ctx context.Context) error {
+func (h *Supervisor) Run(ctx context.Context) error {
 	pause := minReopenInterval
 	for {
 		begun := time.Now()
@@ -57,7 +57,7 @@
 }
 
 // runOne runs one keeper until it fails or ctx ends.
-func (h *Host) runOne(ctx context.Context) error {
+func (h *Supervisor) runOne(ctx context.Context) error {
 	keeperCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	k := h.New()
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -15,13 +15,13 @@
 )
 
 // newTestSupervisor returns a supervisor that calls data for the directory of each keeper.
-func newTestSupervisor(t *testing.T, address string, data func() string) *Host {
+func newTestSupervisor(t *testing.T, address string, data func() string) *Supervisor {
 	t.Helper()
 	pool := &rpc.Pool{}
 	t.Cleanup(pool.Close)
-	return &Host{Log: hclog.NewNullLogger(), New: func() *Keeper {
+	return &Supervisor{Log: hclog.NewNullLogger(), New: func() *Keeper {
 		return &Keeper{
-			Node: "core-1", Address: address, Data: data(), Founders: []string{address}, Heartbeat: time.Second,
+			Node: "core-1", Address: address, DataDir: data(), Founders: []string{address}, Heartbeat: time.Second,
 			Seeds: func() []string { return []string{address} }, RPC: &rpc.Server{Address: address}, Pool: pool,
 			Log: hclog.NewNullLogger(),
 		}
--- a/internal/fleet/identity.go
+++ b/internal/fleet/identity.go
@@ -24,7 +24,7 @@
 // empty although the system exists, its data has been lost: the keeper gets a new incarnation and
 // joins as a new member, so that the vote of the lost one is never used again.
 func (k *Keeper) openIdentity() error {
-	path := filepath.Join(k.Data, identityFile)
+	path := filepath.Join(k.DataDir, identityFile)
 	id := &wire.Identity{}
 	data, err := wal.ReadFile(path)
 	switch {
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -44,7 +44,7 @@
 	// Address is the RPC address of this keeper and its member ID.
 	Address string
 	// DataDir is the directory for the identity, the log and the server records.
-	Data string
+	DataDir string
 	// Founders are the addresses of the initial members; empty if the system already exists.
 	Founders []string
 	// Seeds returns addresses of keepers through which the others are found.
@@ -104,7 +104,7 @@
 	t := newTransport(ctx, k.Pool, func(address string) { k.node.PeerRefused(address) })
 	k.node = &raft.Node{
 		Group: Group, ID: k.Address, Incarnation: k.identity.GetIncarnation(),
-		Dir: filepath.Join(k.Data, "group"), Machine: k.machine, Send: t.send,
+		Dir: filepath.Join(k.DataDir, "group"), Machine: k.machine, Send: t.send,
 		Founders: k.identity.GetFounders(), Heartbeat: heartbeatInterval, Election: electionTimeout,
 		SnapshotEvery: entriesPerSnapshot, Log: k.Log.Named("group"),
 	}
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -29,7 +29,7 @@
 // loadRecords loads the servers that were known before this process started. A missing or damaged
 // file counts as empty.
 func (k *Keeper) loadRecords() {
-	data, err := wal.ReadFile(filepath.Join(k.Data, recordsFile))
+	data, err := wal.ReadFile(filepath.Join(k.DataDir, recordsFile))
 	if trace.IsNotFound(err) {
 		return
 	}
@@ -77,5 +77,5 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return wal.WriteFile(filepath.Join(k.Data, recordsFile), data)
+	return wal.WriteFile(filepath.Join(k.DataDir, recordsFile), data)
 }
--- a/internal/fleet/records_test.go
+++ b/internal/fleet/records_test.go
@@ -53,7 +53,7 @@
 
 // Saving without known servers is not an error.
 func TestNoServersAreNotWritten(t *testing.T) {
-	k := &Keeper{Data: t.TempDir(), servers: &registry.Table{Heartbeat: time.Second}}
+	k := &Keeper{DataDir: t.TempDir(), servers: &registry.Table{Heartbeat: time.Second}}
 	if err := k.saveRecords(); err != nil {
 		t.Fatalf("writing no servers: %v", err)
 	}
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -259,14 +259,14 @@
 }
 
 // ErrRolloutInProgress means that the service is being rolled out to another version.
-var ErrUnderWay = trace.AlreadyExists("the service is moved to another version")
+var ErrRolloutInProgress = trace.AlreadyExists("the service is moved to another version")
 
 // StartRollout executes an operator's order to roll a service out to a version, and returns once
 // it is committed. A duplicate of an order changes nothing. The error is a [trace.NotFound] for an
 // unknown service, a [trace.BadParameter] for an invalid order, or ErrRolloutInProgress; after any
 // other error the order may or may not come into force. An order is not proposed once ctx has
 // ended, which means that its operator is gone.
-func (k *Keeper) Rollout(ctx context.Context, service, target string, lasts time.Duration) error {
+func (k *Keeper) StartRollout(ctx context.Context, service, target string, lasts time.Duration) error {
 	err := k.rollout(ctx, service, target, lasts)
 	k.Log.Info("Processed a rollout order.", "service", service, "target", target, "lasts", lasts, "error", err)
 	return err
@@ -282,7 +282,7 @@
 		return trace.BadParameter("the time is none for a roll-out: %v", lasts)
 	}
 	for {
-		old, err := k.RolloutOf(ctx, name)
+		old, err := k.LatestRollout(ctx, name)
 		if err != nil {
 			return err
 		}
@@ -290,7 +290,7 @@
 		case isDuplicateOrder(old, target):
 			return nil
 		case !rollout.Ended(old):
-			return ErrUnderWay
+			return ErrRolloutInProgress
 		}
 		if err := ctx.Err(); err != nil {
 			return err
@@ -324,7 +324,7 @@
 
 // LatestRollout returns the newest rollout of a service, nil if there is none; the read is
 // linearizable.
-func (k *Keeper) RolloutOf(ctx context.Context, name string) (*wire.Rollout, error) {
+func (k *Keeper) LatestRollout(ctx context.Context, name string) (*wire.Rollout, error) {
 	all, err := callLeader[wire.Rollouts](ctx, k, "Fleet.Rollouts", &wire.Empty{}, (&service{k}).Rollouts)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/rollouts_test.go
+++ b/internal/fleet/rollouts_test.go
@@ -39,7 +39,7 @@
 	}{
 		{"an order", nil, order{"pool", "v2", time.Minute}, nil},
 		{"duplicate", []order{{"pool", "v2", time.Minute}}, order{"pool", "v2", time.Minute}, nil},
-		{"another version in progress", []order{{"pool", "v2", time.Minute}}, order{"pool", "v3", time.Minute}, func(err error) bool { return errors.Is(err, ErrUnderWay) }},
+		{"another version in progress", []order{{"pool", "v2", time.Minute}}, order{"pool", "v3", time.Minute}, func(err error) bool { return errors.Is(err, ErrRolloutInProgress) }},
 		{"another service in progress", []order{{"pool", "v2", time.Minute}}, order{"desk", "v2", time.Minute}, nil},
 		{"an unknown service", nil, order{"none", "v2", time.Minute}, trace.IsNotFound},
 		{"no service", nil, order{"", "v2", time.Minute}, trace.IsBadParameter},
@@ -53,11 +53,11 @@
 			leader, follower := c.awaitLeader()
 			declareServices(t, leader.Keeper, "pool", "desk")
 			for _, o := range tt.before {
-				if err := leader.Rollout(context.Background(), o.service, o.target, o.lasts); err != nil {
+				if err := leader.StartRollout(context.Background(), o.service, o.target, o.lasts); err != nil {
 					t.Fatal(err)
 				}
 			}
-			err := follower.Rollout(context.Background(), tt.order.service, tt.order.target, tt.order.lasts)
+			err := follower.StartRollout(context.Background(), tt.order.service, tt.order.target, tt.order.lasts)
 			if (tt.refused == nil) != (err == nil) || tt.refused != nil && !tt.refused(err) {
 				t.Errorf("error %v", err)
 			}
@@ -98,14 +98,14 @@
 	ctx := context.Background()
 	// Without servers of the target version, a rollout is rolled back at its deadline.
 	for service, lasts := range map[string]time.Duration{"pool": time.Hour, "desk": 50 * time.Millisecond} {
-		if err := follower.Rollout(ctx, service, "v2", lasts); err != nil {
+		if err := follower.StartRollout(ctx, service, "v2", lasts); err != nil {
 			t.Fatal(err)
 		}
 	}
 	phaseOf := func(k *Keeper, service string) wire.RolloutPhase {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		r, err := k.RolloutOf(ctx, service)
+		r, err := k.LatestRollout(ctx, service)
 		if err != nil || r == nil {
 			return -1
 		}
@@ -149,7 +149,7 @@
 	}()
 	time.Sleep(50 * time.Millisecond)
 	begun := time.Now()
-	if err := k.Rollout(context.Background(), "pool", "v2", time.Minute); err != nil {
+	if err := k.StartRollout(context.Background(), "pool", "v2", time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	reply := <-told
--- a/internal/fleetclient/call.go
+++ b/internal/fleetclient/call.go
@@ -64,7 +64,7 @@
 
 // currentPath returns the path to the leader, or the error for a call without one.
 func (c *Client) currentPath() (Path, error) {
-	w, ok := c.Way()
+	w, ok := c.Path()
 	if !ok {
 		return Path{}, trace.ConnectionProblem(nil, "no path to the leading keeper is known")
 	}
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -122,20 +122,20 @@
 func (c *Client) View() *catalog.View { return c.view.Load() }
 
 // Declared returns a channel that is closed once there is a declaration.
-func (c *Client) Known() <-chan struct{} { return c.declared.Wait() }
+func (c *Client) Declared() <-chan struct{} { return c.declared.Wait() }
 
 // Routers returns the number of routers, at least 1.
 func (c *Client) Routers() int { return max(int(c.routers.Load()), 1) }
 
 // Path returns the path to the leader; ok is false while there is none.
-func (c *Client) Way() (w Path, ok bool) {
+func (c *Client) Path() (w Path, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.path, c.path.Address != ""
 }
 
 // LastResponseAt returns when the leader last responded.
-func (c *Client) HeardAt() time.Time {
+func (c *Client) LastResponseAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastResponseAt
@@ -162,7 +162,7 @@
 // Run follows the leader until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		w, ok := c.Way()
+		w, ok := c.Path()
 		if ok && c.follow(ctx, w) {
 			c.tryDirect(ctx, w)
 			continue
@@ -311,12 +311,12 @@
 		c.Log.Error("Failed to unpack a declaration.", "number", p.GetNumber(), "error", err)
 		return
 	}
-	c.Adopt(d)
+	c.ApplyDeclaration(d)
 }
 
 // ApplyDeclaration puts a declaration in force unless one with the same or a higher number is in
 // force.
-func (c *Client) Adopt(d *wire.Declaration) {
+func (c *Client) ApplyDeclaration(d *wire.Declaration) {
 	v := catalog.NewView(d)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -165,7 +165,7 @@
 		for _, d := range []*wire.Declaration{{Number: n, Catalog: manyServices()}, {Number: n + 1}} {
 			both.Go(func() {
 				<-start
-				c.Adopt(d)
+				c.ApplyDeclaration(d)
 			})
 		}
 		close(start)
@@ -235,7 +235,7 @@
 	serve(t, old)
 	serve(t, next)
 	c := newClient(t, old.address, next.address)
-	eventually(t, "a leader", func() bool { _, ok := c.Way(); return ok })
+	eventually(t, "a leader", func() bool { _, ok := c.Path(); return ok })
 	old.frozen.Store(true)
 	defer old.frozen.Store(false)
 	next.leader = next.address
--- a/internal/fleetclient/escrow.go
+++ b/internal/fleetclient/escrow.go
@@ -31,7 +31,7 @@
 	Wallet *escrow.Wallet
 	Log    hclog.Logger
 	// OnReported is called with the duration of each report that the ledger accepted; may be nil.
-	Taken func(time.Duration)
+	OnReported func(time.Duration)
 
 	boot      sumachead.BootID
 	requested chan struct{}
@@ -44,7 +44,7 @@
 	r.boot = sumachead.BootID(uuid.NewString())
 	r.requested = make(chan struct{}, 1)
 	r.Wallet.RequestReport = r.RequestReport
-	r.latency.lastResponseAt = r.Client.HeardAt
+	r.latency.lastResponseAt = r.Client.LastResponseAt
 	r.Wallet.EstimateGrant = r.latency.estimate
 	r.Client.OnReclaim = func(ids []sumachead.WorkspaceID) {
 		if r.Wallet.IncludeInReport(ids) {
@@ -55,7 +55,7 @@
 }
 
 // LedgerUnreachable reports whether the ledger is unreachable.
-func (r *Reporter) Unreached() bool { return r.latency.isUnreachable(time.Now()) }
+func (r *Reporter) LedgerUnreachable() bool { return r.latency.isUnreachable(time.Now()) }
 
 // RequestReport requests a report soon; it does not block.
 func (r *Reporter) RequestReport() {
@@ -82,8 +82,8 @@
 	r.latency.reportSent(begun)
 	reply, err := Call[wire.EscrowReply](ctx, r.Client, "Fleet.Report", report)
 	r.latency.reportEnded(time.Now(), err == nil)
-	if err == nil && r.Taken != nil {
-		r.Taken(time.Since(begun))
+	if err == nil && r.OnReported != nil {
+		r.OnReported(time.Since(begun))
 	}
 	if err != nil {
 		r.Wallet.MarkUnsent(report)
--- a/internal/fleetclient/search.go
+++ b/internal/fleetclient/search.go
@@ -169,7 +169,7 @@
 	if !c.search(ctx) {
 		return Path{}, false
 	}
-	return c.Way()
+	return c.Path()
 }
 
 // tryDirect switches from a relayed path to the direct path once that works.
--- a/internal/fleetclient/search_test.go
+++ b/internal/fleetclient/search_test.go
@@ -72,7 +72,7 @@
 	defer cancel()
 	go func() { _ = c.Run(ctx) }()
 	direct := func() bool {
-		w, ok := c.Way()
+		w, ok := c.Path()
 		return ok && w.Relay == ""
 	}
 	eventually(t, "the direct path", direct)
--- a/internal/fleetclient/take.go
+++ b/internal/fleetclient/take.go
@@ -15,7 +15,7 @@
 	// callers, and before servers, which may run a canary version.
 	c.applyHalls(r.GetHalls())
 	c.applyRollouts(r.GetRollouts())
-	c.TakeSuspects(r.GetSuspects())
+	c.ApplySuspects(r.GetSuspects())
 	c.Servers.Take(r, time.Now())
 	c.routers.Store(r.GetRouters())
 	if p := r.GetDeclaration(); p != nil {
@@ -47,7 +47,7 @@
 }
 
 // ApplySuspects applies the standings of requests that crash servers; nil changes nothing.
-func (c *Client) TakeSuspects(s *wire.Suspects) {
+func (c *Client) ApplySuspects(s *wire.Suspects) {
 	if c.Suspects == nil || s == nil {
 		return
 	}
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -38,7 +38,7 @@
 		if !wait {
 			return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonSettingsStale, "no declaration is known yet", patience.RetryAt(p, u, 0, now))
 		}
-		if !loop.Pause(x.ctx, g.client.Known(), retryAt) {
+		if !loop.Pause(x.ctx, g.client.Declared(), retryAt) {
 			return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonDeadlinePassed, "the caller has gone", time.Time{})
 		}
 		if x.view = g.client.View(); x.view != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -123,18 +123,18 @@
 	}
 	g.link.BytesPerSecond, g.link.Changed = g.LinkBytes, g.recordOverload
 	g.suspension.Clock, g.suspension.Refresh = boottime.Clock{}, g.client.Refresh
-	g.suspects.Node, g.suspects.Table, g.suspects.Apply = g.Node, g.client.Suspects, g.client.TakeSuspects
-	g.suspects.Report, g.suspects.Try = g.client.ReportEnds, g.client.Try
+	g.suspects.Node, g.suspects.Table, g.suspects.Apply = g.Node, g.client.Suspects, g.client.ApplySuspects
+	g.suspects.Report, g.suspects.Try = g.client.ReportCrashes, g.client.RequestTrial
 	g.wallet = &escrow.Wallet{Node: g.Node}
 	g.reporter = &fleetclient.Reporter{Client: g.client, Wallet: g.wallet, Log: g.Log.Named("escrow")}
-	g.reporter.Taken = func(d time.Duration) { g.metrics.ledgerReports.Observe(d.Seconds()) }
+	g.reporter.OnReported = func(d time.Duration) { g.metrics.ledgerReports.Observe(d.Seconds()) }
 	g.reporter.Prepare()
 	g.lender = &lending.Lender{
-		Wallet: g.wallet, LedgerUnreachable: g.reporter.Unreached,
+		Wallet: g.wallet, LedgerUnreachable: g.reporter.LedgerUnreachable,
 		OnOverdue: func(t sumachead.Tokens) { g.metrics.overdueLoans.Add(float64(t)) },
 	}
 	g.borrower = &lending.Borrower{
-		SelfAddress: g.Address, Lenders: g.client.Lenders, Wallet: g.wallet, LedgerUnreachable: g.reporter.Unreached, Pool: g.Pool,
+		SelfAddress: g.Address, Lenders: g.client.Lenders, Wallet: g.wallet, LedgerUnreachable: g.reporter.LedgerUnreachable, Pool: g.Pool,
 		Log: g.Log.Named("lending"),
 	}
 	g.borrower.Init()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -172,7 +172,7 @@
 		Dialect: testDialect{}, Pool: &rpc.Pool{}, Log: hclog.NewNullLogger(),
 	}
 	g.Prepare()
-	g.client.Adopt(&wire.Declaration{Number: 1, Catalog: &wire.Catalog{
+	g.client.ApplyDeclaration(&wire.Declaration{Number: 1, Catalog: &wire.Catalog{
 		KeysNeeded: true,
 		Services:   []*wire.Service{{Name: "pool", MaxConns: 100, HealthPath: "/health", Engine: &wire.EngineLimits{EventTokens: 3}}},
 		Routes: []*wire.Route{{
@@ -378,7 +378,7 @@
 		h := &Gateway{Log: hclog.NewNullLogger(), Seeds: func() []string { return nil }, RetryWindow: time.Second, Dialect: g.Dialect}
 		h.Prepare()
 		h.servers, h.wallet = g.servers, g.wallet
-		time.AfterFunc(firstDeclarationDelay/4, func() { h.client.Adopt(&wire.Declaration{Number: v.Number, Catalog: v.Catalog}) })
+		time.AfterFunc(firstDeclarationDelay/4, func() { h.client.ApplyDeclaration(&wire.Declaration{Number: v.Number, Catalog: v.Catalog}) })
 		if _, _, err := sendRequest(h, "1", nil); err != nil {
 			t.Fatalf("a request that arrived before the declaration: %v", err)
 		}
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -33,7 +33,7 @@
 	d.GetRoutes()[0].Homes = routeHomes
 	d.GetRoutes()[0].MaxAttempts = 4
 	d.GetWorkspaces()[0].Homes = workspaceHomes
-	g.client.Adopt(&wire.Declaration{Number: 2, Catalog: d})
+	g.client.ApplyDeclaration(&wire.Declaration{Number: 2, Catalog: d})
 	return g, servers
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		a := g.trackers.Address(e)
-		if k := fleet.Rank(registry.Name(r), a); a != "" && (best == "" || k < bestRank) {
+		if k := fleet.RendezvousHash(registry.Name(r), a); a != "" && (best == "" || k < bestRank) {
 			best, bestRank = a, k
 		}
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -141,13 +141,13 @@
 	gauge("sumachead_gateway_vacated_halls", "Data halls known to be vacated.", func() float64 { return float64(g.servers.Vacated()) })
 	gauge("sumachead_gateway_suspects", "Known active suspects: requests under which backend servers have crashed.", func() float64 { return float64(g.client.Suspects.ActiveCount()) })
 	gauge("sumachead_gateway_relayed", "1 while the leading keeper is reached through a relay.", func() float64 {
-		if w, _ := g.client.Way(); w.Relay != "" {
+		if w, _ := g.client.Path(); w.Relay != "" {
 			return 1
 		}
 		return 0
 	})
 	gauge("sumachead_gateway_keeper_age_seconds", "Time since the leading keeper last responded.", func() float64 {
-		return time.Since(g.client.HeardAt()).Seconds()
+		return time.Since(g.client.LastResponseAt()).Seconds()
 	})
 	for _, s := range []struct {
 		state string
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -35,7 +35,7 @@
 			g := newGateway(t, wire.RouteKind_ROUTE_KIND_STREAM, true, map[string]string{"a": a.listen(t, cut), "b": b.listen(t, cut)})
 			longer := proto.CloneOf(g.client.View().Catalog)
 			longer.Routes[0].TimeoutMillis = 10_000
-			g.client.Adopt(&wire.Declaration{Number: 2, Catalog: longer})
+			g.client.ApplyDeclaration(&wire.Declaration{Number: 2, Catalog: longer})
 			w := &recorder{writeDelay: tt.writeDelay}
 			r := &sumachead.CallerRequest{ID: "1", Method: http.MethodPost, Host: "h", Path: "/r/x", Header: http.Header{}, Key: "k"}
 			started, err := g.Serve(context.Background(), r, w)
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -128,7 +128,7 @@
 func (g *Gateway) reportOutcome(ctx context.Context, r *wire.RolloutReport, madeAt sumachead.BootTime) {
 	ctx, cancel := context.WithTimeout(ctx, outcomeReportTimeout)
 	defer cancel()
-	grants, err := g.client.Sample(ctx, r)
+	grants, err := g.client.ReportOutcomes(ctx, r)
 	if err != nil {
 		g.servedLog.Info(g.Log, "Failed to report canary outcomes to the leading keeper.", "service", r.GetService(), "error", err)
 	}
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -106,7 +106,7 @@
 	c.connect(g)
 	f := blame.Fingerprint(nil, "clerks", &sumachead.CallerRequest{Method: "POST", Host: "h", Path: "/r/x"})
 	c.list.Apply(&wire.Suspects{Suspects: []*wire.Suspect{{Fingerprint: f[:], Standing: wire.Standing_STANDING_SUSPECTED}}})
-	g.client.TakeSuspects(c.list.Since(0))
+	g.client.ApplySuspects(c.list.Since(0))
 	var all sync.WaitGroup
 	var mu sync.Mutex // guards outcomes
 	outcomes := make(map[sumachead.Reason]int)
--- a/internal/metricspage/page_test.go
+++ b/internal/metricspage/page_test.go
@@ -79,7 +79,7 @@
 	g.Prepare()
 	g.Metrics().Registry.MustRegister(out.Dropped())
 	k := &fleet.Keeper{
-		Node: "core-1", Address: "127.0.0.1:1", Data: t.TempDir(), Founders: []string{"127.0.0.1:1"}, Heartbeat: time.Second,
+		Node: "core-1", Address: "127.0.0.1:1", DataDir: t.TempDir(), Founders: []string{"127.0.0.1:1"}, Heartbeat: time.Second,
 		RPC: &rpc.Server{}, Pool: &rpc.Pool{}, Log: hclog.NewNullLogger(), Collectors: []prometheus.Collector{out.Dropped()},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
