--- a/internal/scenario/addresses_test.go
+++ b/internal/scenario/addresses_test.go
@@ -9,26 +9,25 @@
 	"testing"
 )
 
-// Addresses of a test run are 127.BASE.0.N. A base is claimed by listening on a port of
-// one of its addresses, so that neither another fleet of this run nor another run on the
-// machine has it.
+// Addresses of a test run are 127.BASE.0.N. A base is claimed by listening on a port of one of
+// its addresses, which keeps other fleets of this run and other runs on the machine off it.
 const (
-	// firstFleetBase and fleetBases are for fleets; the processes of one are bound at
-	// addresses boundAbove above those at which others reach them.
-	firstFleetBase, fleetBases, boundAbove = 20, 90, 100
-	// firstRunBase and runBases are for everything else of a run.
+	// firstFleetBase and fleetBases are the range of fleets, whose processes bind to addresses
+	// bindOffset bases above the ones they advertise.
+	firstFleetBase, fleetBases, bindOffset = 20, 90, 100
+	// firstRunBase and runBases are the range of everything else in a run.
 	firstRunBase, runBases = 210, 40
 	claimPort              = 11999
-	// firstPort and lastPort are below the range from which the kernel picks ports.
+	// firstPort and lastPort bound ports below the kernel's ephemeral range.
 	firstPort, lastPort = 12000, 32000
 )
 
-// claims numbers the claims of this run, so that they begin at different bases.
-var claims atomic.Int32
+// claimCount numbers the claims of this run, so that each starts at a different base.
+var claimCount atomic.Int32
 
-// claimBase takes one of n bases for as long as the listener that it returns is open.
+// claimBase claims one of n bases until the returned listener is closed.
 func claimBase(first, n int) (base int, claim net.Listener, err error) {
-	begin := os.Getpid() + int(claims.Add(1))
+	begin := os.Getpid() + int(claimCount.Add(1))
 	for i := range n {
 		base = first + (begin+i)%n
 		claim, err = net.Listen("tcp", fmt.Sprintf("127.%d.0.250:%d", base, claimPort))
@@ -36,13 +35,13 @@
 			return base, claim, nil
 		}
 	}
-	return 0, nil, fmt.Errorf("all %d bases from %d on are taken: %w", n, first, err)
+	return 0, nil, fmt.Errorf("all %d bases starting at %d are taken: %w", n, first, err)
 }
 
-// runClaim holds runBase until the process ends.
+// runClaim holds runBase until the process exits.
 var runClaim net.Listener
 
-// runBase is this run's own base.
+// runBase is the base of this run.
 var runBase = sync.OnceValue(func() (base int) {
 	var err error
 	if base, runClaim, err = claimBase(firstRunBase, runBases); err != nil {
@@ -53,10 +52,10 @@
 
 var nextPort atomic.Int32
 
-// freePort returns a port that nothing else in this run gets.
+// freePort returns a port that is unique within this run.
 func freePort() int { return firstPort + int(nextPort.Add(1))%(lastPort-firstPort) }
 
-// loopback returns a port's address, which no other run has.
+// loopback returns the address of a port, unique across runs on this machine.
 func loopback(port int) string { return fmt.Sprintf("127.%d.0.1:%d", runBase(), port) }
 
 func TestClaimsAreExclusive(t *testing.T) {
@@ -75,6 +74,6 @@
 	}
 	if base, claim, err := claimBase(250, n); err == nil {
 		_ = claim.Close()
-		t.Errorf("base %d is claimed, and all were taken", base)
+		t.Errorf("base %d was claimed although all were taken", base)
 	}
 }
--- a/internal/scenario/call_test.go
+++ b/internal/scenario/call_test.go
@@ -12,14 +12,14 @@
 	"sumachead/internal/router"
 )
 
-// request is one call of a caller.
+// request is one request of a caller.
 type request struct {
 	router        string
 	key           string
 	hold          bool
 	stream        bool
 	tokens        int
-	notRepeatable bool
+	nonIdempotent bool
 	priority      string
 	bearer        string
 	body          string
@@ -27,20 +27,20 @@
 	deadline      time.Duration
 }
 
-// answer is how it ended.
-type answer struct {
-	status  int
-	body    string
-	whole   bool
-	verdict string
-	reason  string
-	retry   string
-	took    time.Duration
+// response is the outcome of a request as its caller saw it.
+type response struct {
+	status     int
+	body       string
+	complete   bool
+	verdict    string
+	reason     string
+	retryAfter string
+	duration   time.Duration
 }
 
-// String is what the scripts match.
-func (a answer) String() string {
-	return fmt.Sprintf("status=%d whole=%v verdict=%s reason=%s retry_after=%s", a.status, a.whole, a.verdict, a.reason, a.retry)
+// String formats the response as scripts match it.
+func (a response) String() string {
+	return fmt.Sprintf("status=%d whole=%v verdict=%s reason=%s retry_after=%s", a.status, a.complete, a.verdict, a.reason, a.retryAfter)
 }
 
 func (q request) build(base string) (*http.Request, error) {
@@ -64,7 +64,7 @@
 	set("Content-Type", "application/json")
 	set(router.HeaderKey, q.key)
 	set(router.HeaderPriority, q.priority)
-	if q.notRepeatable {
+	if q.nonIdempotent {
 		set(router.HeaderNotRepeatable, "true")
 	}
 	if q.deadline != 0 {
@@ -73,31 +73,31 @@
 	return r, nil
 }
 
-// call sends a request and reads all of its answer.
-func (s *system) call(q request) answer {
-	began := time.Now()
-	a := s.send(q)
-	a.took = time.Since(began)
+// call sends a request, reads the whole response and records how long it took.
+func (s *system) call(q request) response {
+	start := time.Now()
+	a := s.roundTrip(q)
+	a.duration = time.Since(start)
 	return a
 }
 
-func (s *system) send(q request) answer {
+func (s *system) roundTrip(q request) response {
 	p := s.processes[q.router]
 	if p == nil {
-		return answer{reason: "no_such_router"}
+		return response{reason: "no_such_router"}
 	}
 	r, err := q.build("http://" + p.http)
 	if err != nil {
-		return answer{reason: err.Error()}
+		return response{reason: err.Error()}
 	}
 	client := &http.Client{Timeout: q.timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(r)
 	if err != nil {
-		return answer{reason: "no_answer"}
+		return response{reason: "no_answer"}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	a := answer{status: resp.StatusCode, body: string(data), retry: resp.Header.Get("Retry-After")}
+	a := response{status: resp.StatusCode, body: string(data), retryAfter: resp.Header.Get("Retry-After")}
 	if resp.StatusCode != http.StatusOK {
 		a.readError(data)
 		return a
@@ -110,11 +110,11 @@
 		a.reason = "broken_off"
 		return a
 	}
-	a.whole = json.Valid(data) || strings.HasSuffix(a.body, "data: [DONE]\n\n")
+	a.complete = json.Valid(data) || strings.HasSuffix(a.body, "data: [DONE]\n\n")
 	return a
 }
 
-func (a *answer) readError(data []byte) {
+func (a *response) readError(data []byte) {
 	var e struct {
 		Error struct{ Verdict, Reason string }
 	}
--- a/internal/scenario/check_test.go
+++ b/internal/scenario/check_test.go
@@ -8,13 +8,13 @@
 	"sumachead/api/wire"
 )
 
-// settleWait is how long the last bills may take.
-const settleWait = 20 * time.Second
+// settleTimeout bounds the wait for the last requests to be billed.
+const settleTimeout = 20 * time.Second
 
-// checkBudget checks the ledger against the invariants and, once all is
-// settled, against what the stand-ins made. bill is the expected spend, or -1.
+// checkBudget checks the invariants of the ledger and, if settled, waits for the bills to match
+// what the stand-ins ran. The expected spend is bill, or -1 for any.
 func (s *system) checkBudget(settled bool, slack, bill int64) error {
-	deadline := time.Now().Add(settleWait)
+	deadline := time.Now().Add(settleTimeout)
 	for {
 		r, err := s.ledger()
 		if err != nil {
@@ -37,41 +37,42 @@
 	}
 	for _, b := range r.GetBudgets() {
 		if b.GetSpent()+b.GetReserved()+b.GetAllotted() > b.GetTotal() {
-			return fmt.Errorf("budget beyond its total: %v", b)
+			return fmt.Errorf("budget exceeds its total: %v", b)
 		}
 	}
 	return nil
 }
 
-// compareBills compares the spend with the entries and with the stand-ins.
+// compareBills compares the spent budget with the ledger's entries and with what the stand-ins
+// ran.
 func (s *system) compareBills(r *wire.LookupReply, slack, bill int64) error {
 	b := r.GetBudgets()[0]
 	if b.GetReserved() != 0 {
-		return fmt.Errorf("still reserved: %d", b.GetReserved())
+		return fmt.Errorf("%d tokens still reserved", b.GetReserved())
 	}
 	entries := int64(0)
 	for _, e := range r.GetEntries() {
 		entries += e.GetBilled()
 	}
 	if entries != b.GetSpent() {
-		return fmt.Errorf("entries bill %d, the budget spent %d", entries, b.GetSpent())
+		return fmt.Errorf("entries bill %d tokens, but the budget has spent %d", entries, b.GetSpent())
 	}
 	if bill >= 0 && bill != b.GetSpent() {
-		return fmt.Errorf("spent %d, want %d", b.GetSpent(), bill)
+		return fmt.Errorf("budget has spent %d tokens, want %d", b.GetSpent(), bill)
 	}
-	made, err := s.made()
+	made, err := s.executedTokens()
 	if err != nil {
 		return err
 	}
 	if diff := made - b.GetSpent(); diff < -slack || diff > slack {
-		return fmt.Errorf("the stand-ins made %d, the budget spent %d", made, b.GetSpent())
+		return fmt.Errorf("stand-ins ran %d tokens, but the budget has spent %d", made, b.GetSpent())
 	}
 	return nil
 }
 
-// made returns what the stand-ins ran, in tokens.
-func (s *system) made() (int64, error) {
-	engines, err := s.record("assistant")
+// executedTokens returns the cost in tokens of all that the stand-ins ran.
+func (s *system) executedTokens() (int64, error) {
+	engines, err := s.runsOf("assistant")
 	if err != nil {
 		return 0, err
 	}
@@ -79,7 +80,7 @@
 	for _, r := range engines {
 		total += r.Tokens
 	}
-	calls, err := s.record("booking")
+	calls, err := s.runsOf("booking")
 	if err != nil {
 		return 0, err
 	}
--- a/internal/scenario/checks_test.go
+++ b/internal/scenario/checks_test.go
@@ -15,49 +15,49 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// fault SERVER JSON switches a stand-in's faults.
+// fault SERVER JSON sets the injected faults of a stand-in.
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
-	p, err := of(ts).sys.resolve(args[0])
+	p, err := scriptOf(ts).sys.resolve(args[0])
 	ts.Check(err)
 	resp, err := http.Post("http://"+p.http+"/admin/faults", "application/json", strings.NewReader(args[1]))
 	ts.Check(err)
 	_ = resp.Body.Close()
 }
 
-// same A B checks that two calls got the same whole answer.
+// same A B checks that two calls got the same complete response.
 func cmdSame(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	a, b := s.answers[args[0]], s.answers[args[1]]
-	if !a.whole || !b.whole || a.body != b.body {
-		ts.Fatalf("%s: %s\n%s\n%s: %s\n%s", args[0], a, brief(a.body), args[1], b, brief(b.body))
+	s := scriptOf(ts)
+	a, b := s.responses[args[0]], s.responses[args[1]]
+	if !a.complete || !b.complete || a.body != b.body {
+		ts.Fatalf("%s: %s\n%s\n%s: %s\n%s", args[0], a, truncate(a.body), args[1], b, truncate(b.body))
 	}
 }
 
-// own checks that every whole answer of a model is of its own request alone.
+// own checks that each complete model response contains output of its own request only.
 func cmdOwn(ts *testscript.TestScript, _ bool, _ []string) {
 	word := regexp.MustCompile(`clerks/([^/ ]+)/\d+#`)
-	for key, a := range of(ts).answers {
-		if !a.whole {
+	for key, a := range scriptOf(ts).responses {
+		if !a.complete {
 			continue
 		}
 		for _, m := range word.FindAllStringSubmatch(a.body, -1) {
 			if m[1] != key {
-				ts.Fatalf("the answer of %s holds words of %s", key, m[1])
+				ts.Fatalf("the response to %s contains output of request %s", key, m[1])
 			}
 		}
 	}
 }
 
-// runs PREFIX KEY N [within=D] checks how often the stand-ins named PREFIX... began a
-// request of the workspace; KEY may be "all".
+// runs PREFIX KEY N [within=D] checks how many times stand-ins whose names begin with PREFIX have
+// started a request of the workspace with this key, or with any key for "all".
 func cmdRuns(ts *testscript.TestScript, _ bool, args []string) {
-	within := time.Duration(0)
-	args = options(ts, args, map[string]func(string) error{"within": toDuration(&within)})
+	timeout := time.Duration(0)
+	args = parseOptions(ts, args, map[string]func(string) error{"within": toDuration(&timeout)})
 	want, err := strconv.Atoi(args[2])
 	ts.Check(err)
 	got := 0
-	err = eventually(within, "runs", func() bool {
-		all, err := of(ts).sys.record(args[0])
+	err = eventually(timeout, "runs", func() bool {
+		all, err := scriptOf(ts).sys.runsOf(args[0])
 		ts.Check(err)
 		got = 0
 		for _, r := range all {
@@ -72,25 +72,25 @@
 	}
 }
 
-// refusals PREFIX MOST checks that the stand-ins named PREFIX... have answered some, and at most
-// so many, requests with 503.
+// refusals PREFIX MAX checks that stand-ins whose names begin with PREFIX have answered at least
+// one and at most MAX requests with 503.
 func cmdRefusals(ts *testscript.TestScript, _ bool, args []string) {
-	most, err := strconv.Atoi(args[1])
+	maxRefusals, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	all, err := of(ts).sys.records(args[0])
+	all, err := scriptOf(ts).sys.recordOf(args[0])
 	ts.Check(err)
-	if all.Refused == 0 || all.Refused > most {
-		ts.Fatalf("%s refused %d requests, want one at least, and %d at most", args[0], all.Refused, most)
+	if all.Refused == 0 || all.Refused > maxRefusals {
+		ts.Fatalf("%s refused %d requests, want 1 to %d", args[0], all.Refused, maxRefusals)
 	}
 }
 
-// budget [settled] checks the budget: no violation, nothing beyond the total.
-// With "settled" it waits until nothing is reserved, and compares the bill
-// with what the stand-ins really made, but for the slack=N tokens given.
+// budget [settled] [slack=N] [spent=N] checks that the ledger has no violation and no budget
+// exceeds its total. With "settled" it waits until nothing is reserved and the bill matches what
+// the stand-ins ran, give or take slack tokens.
 func cmdBudget(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := scriptOf(ts)
 	slack, bill := int64(0), int64(-1)
-	rest := options(ts, args, map[string]func(string) error{"slack": toInt(&slack), "spent": toInt(&bill)})
+	rest := parseOptions(ts, args, map[string]func(string) error{"slack": toInt(&slack), "spent": toInt(&bill)})
 	settled := len(rest) > 0 && rest[0] == "settled"
 	if err := s.sys.checkBudget(settled, slack, bill); err != nil {
 		s.dumpLogs(ts)
@@ -98,12 +98,12 @@
 	}
 }
 
-// order SERVER EPOCH WANT sends work under an epoch straight to a server's agent,
-// as a router with old settings, or the other side of a move, would; WANT is
-// "accepted" or the reason of the refusal. With SERVER's own name in place of its
-// agent's the order goes to the backend server itself, and WANT is a status.
+// order SERVER EPOCH WANT sends a request under an epoch directly to a server's agent, as a
+// router with stale settings or on the other side of a reassignment would. WANT is "accepted" or
+// the reason of the refusal. If SERVER is the backend server itself instead of its agent, WANT is
+// an HTTP status.
 func cmdOrder(ts *testscript.TestScript, _ bool, args []string) {
-	p, err := of(ts).sys.resolve(args[0])
+	p, err := scriptOf(ts).sys.resolve(args[0])
 	ts.Check(err)
 	epoch, err := strconv.ParseUint(args[1], 10, 64)
 	ts.Check(err)
@@ -114,7 +114,7 @@
 		got = orderAgent(ts, p, epoch)
 	}
 	if got != args[2] {
-		ts.Fatalf("order to %s under epoch %d: %s, want %s", p.name, epoch, got, args[2])
+		ts.Fatalf("request to %s under epoch %d: got %s, want %s", p.name, epoch, got, args[2])
 	}
 }
 
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -1,9 +1,8 @@
-// Package scenario proves the system's promises: scripted scenarios drive real
-// processes on loopback, and a soak run mixes faults at random.
+// Package scenario tests whole systems: scripted scenarios drive real processes on loopback, and
+// a soak test injects random faults.
 //
-// A scenario is a script in testdata, in the language of testscript with a few
-// commands of ours: system, start, shutdown, crash, freeze, thaw, wipe-disk, cut,
-// heal, apply, tool, call, calls, await, fault, budget, runs and same.
-// CONTRIBUTING.md describes them. Cuts are made by a small TCP relay that
-// stands before every process and tells callers apart by their local address.
+// A scenario is a testscript script in testdata with additional commands: system, start,
+// shutdown, crash, freeze, thaw, wipe-disk, cut, heal, apply, tool, call, calls, await, fault,
+// budget, runs and same. CONTRIBUTING.md describes them. Network partitions are simulated by a
+// small TCP proxy in front of each process, which tells callers apart by their local address.
 package scenario
--- a/internal/scenario/endsservers_test.go
+++ b/internal/scenario/endsservers_test.go
@@ -15,48 +15,42 @@
 	"sumachead/internal/tool"
 )
 
-// What users saw: within ten seconds 29 starts of twelve engines ended one after the other,
-// for ten seconds six of ten requests had no whole answer, and then it began again.
+// A request that crashes any engine that runs it must not take down one engine after the other.
 //
-// The order of events: a caller sends a request; the engine that begins to run it ends some
-// 40 ms later, with all that runs there; the router sends the request to another engine, which
-// ends as well, and answers 502. The caller sends it again to any router, under a new id, and
-// so on for as long as it likes; engines that are back end within seconds of their start.
-//
-// The cause: what is known of a request ends with its attempt. Servers that fail are
-// remembered, and the ids of requests; that the same request was there when other servers
-// ended is known to nobody, since each try has an id of its own and each router sees only
-// some of the tries.
-//
-// The evidence: of all requests under way at ends, by workspace and size of the prompt, one
-// stood under 18 of the engines that ended, in lines of all five routers, and none of the
-// others under more than 4; engines with 3 requests under way ended like those with 27; the
-// allowance for repeats was not exceeded. Ends come 35 to 95 ms after that one begins to run.
+// The engine crashes some 40 ms (35 to 95 ms) after it starts the request, with everything else
+// that runs there, whether 3 or 27 requests are in flight. The router retries on a second engine,
+// which crashes too, and answers 502; the caller then retries through any router under a new id.
+// Each attempt has its own id and each router sees only some of them, so nothing links the crashes
+// unless they are counted by the content of the request. Otherwise one such request crashes 18
+// engines through five routers, while no other request is in flight at more than 4 of these
+// crashes, and leaves six of ten requests without a complete response, with all routers within
+// their retry budgets.
 
 const (
-	// badBody is the body of a request that ends the engines that run it.
-	badBody = "ends what runs it"
-	// mostEnds is how many servers a request may end that is sent again once it has failed.
-	mostEnds = 3
+	// crashBody is the body of a request that crashes the engines that run it.
+	crashBody = "ends what runs it"
+	// maxCrashes is how many servers a request may crash when its caller retries it after each
+	// failure.
+	maxCrashes = 3
 )
 
-// endsFleet starts a fleet whose engines end under the bad body.
-func endsFleet(t *testing.T, sameID bool) *fleet {
+// startCrashFleet starts a fleet whose engines crash on crashBody.
+func startCrashFleet(t *testing.T, sameID bool) *fleet {
 	t.Helper()
 	f := startFleet(t, fleetShape{keepers: 3, routers: 4, relays: 6, engines: 6, desks: 2, prepaid: 10_000_000})
-	f.endUnder(badBody, sameID)
+	f.crashOn(crashBody, sameID)
 	return f
 }
 
-// servers returns all backend servers, those that have left included.
+// servers returns all backend servers, including those that have left.
 func (f *fleet) servers() []*standin.Replica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Collect(maps.Values(f.server))
+	return slices.Collect(maps.Values(f.replicas))
 }
 
-// endUnder makes the engines end under a body.
-func (f *fleet) endUnder(body string, sameID bool) {
+// crashOn makes the engines crash on a body.
+func (f *fleet) crashOn(body string, sameID bool) {
 	for _, r := range f.servers() {
 		if r.Service == "pool" {
 			r.EndUnder(body, sameID)
@@ -64,8 +58,8 @@
 	}
 }
 
-// endedUnder counts the ends of backend servers under a body.
-func (f *fleet) endedUnder(body string) int {
+// crashCountOn counts the crashes of backend servers on a body.
+func (f *fleet) crashCountOn(body string) int {
 	n := 0
 	for _, r := range f.servers() {
 		n += r.Ends(body)
@@ -73,27 +67,27 @@
 	return n
 }
 
-func (f *fleet) ended() int { return f.endedUnder(badBody) }
+func (f *fleet) crashCount() int { return f.crashCountOn(crashBody) }
 
-// againSoon is how long a caller mostly waits until it sends a request that has failed again.
-const againSoon = 50 * time.Millisecond
+// retryDelay is how long a caller usually waits before it retries a failed request.
+const retryDelay = 50 * time.Millisecond
 
-// insist sends the bad request to one router after the other until a moment, each time
-// under a new id and some time after the last answer.
-func (f *fleet) insist(until time.Time, after time.Duration) (callers []*caller) {
+// sendCrashing sends the crashing request to the routers in turn until the given time, each time
+// under a new id and after a delay.
+func (f *fleet) sendCrashing(until time.Time, delay time.Duration) (callers []*caller) {
 	for i := 0; time.Now().Before(until); i++ {
 		router := fmt.Sprintf("router-%d", i%f.shape.routers+1)
-		callers = append(callers, f.ask(fleetRequest{kind: "stream", router: router, body: badBody, prompt: 10, events: 5}))
-		time.Sleep(after)
+		callers = append(callers, f.do(fleetRequest{kind: "stream", router: router, body: crashBody, prompt: 10, events: 5}))
+		time.Sleep(delay)
 	}
 	return callers
 }
 
-// others sends requests that end nothing, beside, until a moment: each with a body of its own,
-// or all the same one. Who is told when to come back does so.
-func (f *fleet) others(until time.Time, same bool, all *sync.WaitGroup, outcome func(*caller)) {
-	const at = 4
-	for k := range at {
+// sendHarmless sends requests that crash nothing until the given time, each with its own body or
+// all with the same one. Callers honor Retry-After.
+func (f *fleet) sendHarmless(until time.Time, same bool, all *sync.WaitGroup, outcome func(*caller)) {
+	const concurrency = 4
+	for k := range concurrency {
 		all.Go(func() {
 			for i := 0; time.Now().Before(until); i++ {
 				router := fmt.Sprintf("router-%d", (i+k)%f.shape.routers+1)
@@ -101,46 +95,47 @@
 				if same {
 					body = "other"
 				}
-				outcome(f.comeBack(fleetRequest{kind: "stream", router: router, body: body, prompt: 10, events: 30}))
+				outcome(f.doWithRetry(fleetRequest{kind: "stream", router: router, body: body, prompt: 10, events: 30}))
 			}
 		})
 	}
 }
 
-func TestRequestThatEndsServers(t *testing.T) {
+func TestRequestThatCrashesServers(t *testing.T) {
 	tests := []struct {
 		name string
-		// callers send the bad request at the same time. What each of them has under way
-		// can't be called back.
+		// callers send the crashing request concurrently. Attempts that are in flight when it is
+		// barred can't be recalled.
 		callers int
-		// after is how long they wait until they send again.
-		after  time.Duration
+		// delay is how long callers wait before they retry.
+		delay  time.Duration
 		sameID bool
-		// same: all others send one request, which is beside the bad one at most ends.
+		// same: all harmless requests share one body, which is therefore in flight at most
+		// crashes.
 		same bool
 	}{
-		{"one caller", 1, againSoon, false, false},
-		{"one caller that sends again at once", 1, 0, false, false},
-		{"servers that start again under their ids", 1, againSoon, true, false},
-		{"three callers", 3, againSoon, false, false},
-		{"others who send one request", 1, againSoon, false, true},
+		{"one caller", 1, retryDelay, false, false},
+		{"one caller that retries immediately", 1, 0, false, false},
+		{"servers that restart under the same id", 1, retryDelay, true, false},
+		{"three callers", 3, retryDelay, false, false},
+		{"harmless requests with the same body", 1, retryDelay, false, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			f := endsFleet(t, tt.sameID)
+			f := startCrashFleet(t, tt.sameID)
 			until := time.Now().Add(5 * time.Second)
 			var all sync.WaitGroup
 			var mu sync.Mutex // guards the variables below
-			outcomes, whole, sent := make(map[string]int), 0, 0
+			outcomes, complete, sent := make(map[string]int), 0, 0
 			var refused []string
-			f.others(until, tt.same, &all, func(c *caller) {
+			f.sendHarmless(until, tt.same, &all, func(c *caller) {
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[c.String()]++
 				sent++
-				if c.whole {
-					whole++
+				if c.complete {
+					complete++
 				}
 				if strings.Contains(c.refusal, "ends_servers") || !tt.same && strings.Contains(c.refusal, "suspected") {
 					refused = append(refused, c.id+" "+c.refusal)
@@ -149,47 +144,47 @@
 			var last []*caller
 			for range tt.callers {
 				all.Go(func() {
-					callers := f.insist(until, tt.after)
+					callers := f.sendCrashing(until, tt.delay)
 					mu.Lock()
 					defer mu.Unlock()
 					last = append(last, callers[len(callers)-1])
 				})
 			}
 			all.Wait()
-			t.Logf("%d ends, others: %v", f.ended(), outcomes)
-			const leastPercent = 90
-			if whole*100 < sent*leastPercent {
-				t.Errorf("%d of %d others have a whole answer", whole, sent)
+			t.Logf("%d crashes, harmless requests: %v", f.crashCount(), outcomes)
+			const minPercent = 90
+			if complete*100 < sent*minPercent {
+				t.Errorf("%d of %d harmless requests have a complete response", complete, sent)
 			}
-			if most := mostEnds + tt.callers - 1; f.ended() > most {
-				t.Errorf("%d servers ended under one request, %d may", f.ended(), most)
+			if allowed := maxCrashes + tt.callers - 1; f.crashCount() > allowed {
+				t.Errorf("one request crashed %d servers, at most %d allowed", f.crashCount(), allowed)
 			}
 			for _, c := range last {
-				if !strings.Contains(c.refusal, "ends_servers") || strings.Contains(c.refusal, "not_run") || c.retry != 0 {
-					t.Errorf("the last answer of its caller is %d %q, come back in %v s", c.status, c.refusal, c.retry)
+				if !strings.Contains(c.refusal, "ends_servers") || strings.Contains(c.refusal, "not_run") || c.retryAfter != 0 {
+					t.Errorf("the last response to a caller is %d %q with Retry-After %v s", c.status, c.refusal, c.retryAfter)
 				}
-				const atOnce = 200 * time.Millisecond
-				if d := c.ended.Sub(c.sent); d > atOnce {
-					t.Errorf("the last answer took %v", d)
+				const maxTime = 200 * time.Millisecond
+				if d := c.endedAt.Sub(c.sentAt); d > maxTime {
+					t.Errorf("the last response took %v", d)
 				}
 			}
 			if diff := cmp.Diff([]string(nil), refused); diff != "" {
-				t.Errorf("others were held for requests that end servers (-want +got):\n%s", diff)
+				t.Errorf("harmless requests were suspected or barred (-want +got):\n%s", diff)
 			}
-			if broken := f.promises(f.shape.prepaid); len(broken) > 0 {
-				t.Errorf("broken:\n%s", strings.Join(broken, "\n"))
+			if violations := f.violations(f.shape.prepaid); len(violations) > 0 {
+				t.Errorf("broken:\n%s", strings.Join(violations, "\n"))
 			}
 		})
 	}
 }
 
-// What is held against a request is known to routers that start, under another leader, and
-// after everything was killed.
+// The standing of a request survives the start of a router, a change of leader and a restart of
+// everything.
 func TestBarredRequestStaysBarred(t *testing.T) {
-	f := endsFleet(t, false)
-	f.insist(time.Now().Add(time.Second), againSoon)
-	if f.ended() != mostEnds {
-		t.Fatalf("%d servers ended, want %d", f.ended(), mostEnds)
+	f := startCrashFleet(t, false)
+	f.sendCrashing(time.Now().Add(time.Second), retryDelay)
+	if f.crashCount() != maxCrashes {
+		t.Fatalf("%d servers crashed, want %d", f.crashCount(), maxCrashes)
 	}
 	all := func(role string) (names []string) {
 		for _, n := range f.order {
@@ -203,7 +198,7 @@
 		name  string
 		kills func() []string
 	}{
-		{"the leader", func() []string { return []string{f.leaderOf()} }},
+		{"the leader", func() []string { return []string{f.leadingKeeper()} }},
 		{"a router", func() []string { return []string{"router-1"} }},
 		{"all keepers", func() []string { return all("keeper") }},
 		{"everything", func() []string { return all("") }},
@@ -220,29 +215,29 @@
 				t.Fatal(err)
 			}
 		}
-		f.insist(time.Now().Add(1500*time.Millisecond), againSoon)
+		f.sendCrashing(time.Now().Add(1500*time.Millisecond), retryDelay)
 		if err := eventually(startTimeout, "a request is served", func() bool {
-			return f.ask(fleetRequest{kind: "stream", router: "router-1", events: 2}).whole
+			return f.do(fleetRequest{kind: "stream", router: "router-1", events: 2}).complete
 		}); err != nil {
 			t.Fatal(err)
 		}
-		f.insist(time.Now().Add(time.Second/2), againSoon)
-		if f.ended() != mostEnds {
-			t.Errorf("%s killed: %d servers ended, want %d", tt.name, f.ended(), mostEnds)
+		f.sendCrashing(time.Now().Add(time.Second/2), retryDelay)
+		if f.crashCount() != maxCrashes {
+			t.Errorf("after a restart of %s: %d servers crashed, want %d", tt.name, f.crashCount(), maxCrashes)
 		}
 	}
-	if broken := f.promises(f.shape.prepaid); len(broken) > 0 {
-		t.Errorf("broken:\n%s", strings.Join(broken, "\n"))
+	if violations := f.violations(f.shape.prepaid); len(violations) > 0 {
+		t.Errorf("broken:\n%s", strings.Join(violations, "\n"))
 	}
 }
 
-// Operators see what is held against requests, and lift it.
+// Operators can list suspected requests and clear them.
 func TestOperatorClearsARequest(t *testing.T) {
-	f := endsFleet(t, false)
+	f := startCrashFleet(t, false)
 	var keepers []string
 	for i, name := range f.order {
 		if f.processes[name].role == "keeper" {
-			keepers = append(keepers, fmt.Sprintf("--keeper=%s:%d", f.advertised(i), f.inner))
+			keepers = append(keepers, fmt.Sprintf("--keeper=%s:%d", f.advertisedIP(i), f.innerPort))
 		}
 	}
 	run := func(args ...string) string {
@@ -256,18 +251,18 @@
 	if got := run(); !strings.Contains(got, "nothing is held") {
 		t.Errorf("before: %s", got)
 	}
-	f.insist(time.Now().Add(time.Second), againSoon)
-	fingerprint, rest, _ := strings.Cut(run(), ":")
-	if !strings.HasPrefix(rest, " barred since ") || strings.Count(rest, "i-engine-") != mostEnds {
-		t.Errorf("after three ends: %s:%s", fingerprint, rest)
+	f.sendCrashing(time.Now().Add(time.Second), retryDelay)
+	fingerprint, record, _ := strings.Cut(run(), ":")
+	if !strings.HasPrefix(record, " barred since ") || strings.Count(record, "i-engine-") != maxCrashes {
+		t.Errorf("after three crashes: %s:%s", fingerprint, record)
 	}
 	run("--clear", fingerprint)
 	if got := run(); !strings.Contains(got, fingerprint+": cleared") {
 		t.Errorf("cleared: %s", got)
 	}
-	time.Sleep(time.Second) // servers are back
-	f.insist(time.Now().Add(time.Second), againSoon)
-	if f.ended() != 2*mostEnds {
-		t.Errorf("%d servers ended, want %d", f.ended(), 2*mostEnds)
+	time.Sleep(time.Second) // until the servers have restarted
+	f.sendCrashing(time.Now().Add(time.Second), retryDelay)
+	if f.crashCount() != 2*maxCrashes {
+		t.Errorf("%d servers crashed, want %d", f.crashCount(), 2*maxCrashes)
 	}
 }
--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -18,10 +18,10 @@
 	"sumachead/internal/standin"
 )
 
-// A fleet is a system of real node processes on the platform's settings, with a
-// stand-in for the platform: an operator, backend servers that register, callers.
+// A fleet is a system of real node processes with the platform's settings. The test stands in for
+// the platform: an operator, registering backend servers and callers.
 
-// fleetShape says how large a fleet is.
+// fleetShape is the size of a fleet.
 type fleetShape struct {
 	keepers, routers, relays, engines, desks int
 	prepaid                                  int
@@ -31,37 +31,38 @@
 	*system
 	shape fleetShape
 	node  string
-	// base is the second number of the hosts' addresses, held by claim.
+	// base is the second octet of the hosts' addresses, reserved by claim.
 	base  int
 	claim net.Listener
 
-	inner  int // port of what processes say to each other
-	front  int
-	ready  int
-	ctl    int
-	stop   context.CancelFunc
-	ctx    context.Context
-	server map[string]*standin.Replica
+	innerPort   int // port of calls between processes
+	frontPort   int
+	readyPort   int
+	controlPort int
+	stop        context.CancelFunc
+	ctx         context.Context
+	replicas    map[string]*standin.Replica
 
 	mu      sync.Mutex // guards the fields below
 	callers []*caller
-	// vacated are the times within which data halls were vacated, by the operator's acknowledgements.
-	vacated []vacatedSpan
-	// firstSeed is the number of the first keeper that processes are told as a seed.
-	firstSeed int
-	requests  int
+	// vacatedSpans are the times in which data halls were vacated, by the acknowledgements to the
+	// operator.
+	vacatedSpans []vacatedSpan
+	// firstSeed is the index of the first keeper in the seed list that processes are given.
+	firstSeed    int
+	requestCount int
 }
 
 func newFleet(dir, node string, s fleetShape) *fleet {
 	f := &fleet{
 		system: newSystem(dir, "", "", shape{}), shape: s, node: node,
-		inner: freePort(), front: freePort(), ready: freePort(), ctl: freePort(), server: make(map[string]*standin.Replica),
+		innerPort: freePort(), frontPort: freePort(), readyPort: freePort(), controlPort: freePort(), replicas: make(map[string]*standin.Replica),
 	}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	return f
 }
 
-// startFleet starts a fleet for a test, once few enough others run, and ends it with the test.
+// startFleet starts a fleet for a test, once few enough others run, and stops it with the test.
 func startFleet(t *testing.T, s fleetShape) *fleet {
 	t.Helper()
 	node, err := exec.LookPath("sumachead-node")
@@ -69,8 +70,8 @@
 		t.Fatal(err)
 	}
 	f := newFleet(t.TempDir(), node, s)
-	atOnce <- struct{}{}
-	t.Cleanup(func() { <-atOnce })
+	systemSlots <- struct{}{}
+	t.Cleanup(func() { <-systemSlots })
 	if err := f.build(); err != nil {
 		t.Fatal(err)
 	}
@@ -81,11 +82,11 @@
 	return f
 }
 
-// advertised is where others reach a host, bound where its process really is: a
-// relay of the test stands between.
-func (f *fleet) advertised(i int) string { return fmt.Sprintf("127.%d.0.%d", f.base, i+1) }
+// advertisedIP is the address at which others reach a host. The process itself binds to boundIP,
+// with the test's proxy in between.
+func (f *fleet) advertisedIP(i int) string { return fmt.Sprintf("127.%d.0.%d", f.base, i+1) }
 
-func (f *fleet) bound(i int) string { return fmt.Sprintf("127.%d.0.%d", f.base+boundAbove, i+1) }
+func (f *fleet) boundIP(i int) string { return fmt.Sprintf("127.%d.0.%d", f.base+bindOffset, i+1) }
 
 func (f *fleet) build() error {
 	var err error
@@ -103,11 +104,11 @@
 			}
 		}
 	}
-	f.net.watchKeepers(f)
+	f.net.monitorKeepers(f)
 	for i := range f.shape.engines {
-		// An engine shares the host of a process that relays and counts beside it.
+		// An engine shares the host of a process that relays and tracks its load.
 		beside := f.indexOf(fmt.Sprintf("side-%d", i%max(f.shape.relays, 1)+1))
-		f.addServer(fmt.Sprintf("engine-%d", i+1), "pool", hallName(i), f.bound(beside))
+		f.addServer(fmt.Sprintf("engine-%d", i+1), "pool", hallName(i), f.boundIP(beside))
 	}
 	for i := range f.shape.desks {
 		f.addServer(fmt.Sprintf("desk-%d", i+1), "desk", hallName(i), f.serverHost())
@@ -115,30 +116,30 @@
 	return nil
 }
 
-// serverHost is where backend servers run that have no host beside a process: an address that
-// no other run has, so that nobody else's requests come there.
+// serverHost is the host of backend servers that share none with a process. No other run has this
+// address, so that no foreign requests arrive there.
 func (f *fleet) serverHost() string { return fmt.Sprintf("127.%d.1.1", f.base) }
 
-// addHost makes a process, its settings file, and the relay before it.
+// addHost adds a process with its settings file and the proxy in front of it.
 func (f *fleet) addHost(name, class, serves, hall string) error {
 	i := len(f.order)
-	p := &process{name: name, role: class, hall: hall, command: f.node, ip: f.bound(i), data: f.path(name + ".data")}
-	p.rpc = fmt.Sprintf("%s:%d", f.bound(i), f.inner)
+	p := &process{name: name, role: class, hall: hall, command: f.node, ip: f.boundIP(i), data: f.path(name + ".data")}
+	p.rpc = fmt.Sprintf("%s:%d", f.boundIP(i), f.innerPort)
 	f.processes[name] = p
 	f.order = append(f.order, name)
-	lis, err := net.Listen("tcp", fmt.Sprintf("%s:%d", f.advertised(i), f.inner))
+	lis, err := net.Listen("tcp", fmt.Sprintf("%s:%d", f.advertisedIP(i), f.innerPort))
 	if err != nil {
 		return err
 	}
-	p.relay = &relay{
-		lis: lis, target: p.rpc, places: []string{hall, name, class}, net: f.net, placesOf: f.placesOf, done: make(chan struct{}),
+	p.proxy = &proxy{
+		lis: lis, target: p.rpc, labels: []string{hall, name, class}, net: f.net, labelsOf: f.labelsOf, done: make(chan struct{}),
 	}
 	p.env = []string{"SUMACHEAD_SETTINGS=" + f.path(name+".conf")}
 	return f.writeSettings(i, p, serves, true)
 }
 
-// placesOf names the places of a caller by its address.
-func (f *fleet) placesOf(ip string) []string {
+// labelsOf returns the network labels of a caller by its address.
+func (f *fleet) labelsOf(ip string) []string {
 	for _, p := range f.processes {
 		if p.ip == ip {
 			return []string{p.hall, p.name, p.role}
@@ -152,20 +153,20 @@
 	seed := f.firstSeed
 	f.mu.Unlock()
 	var seeds []string
-	for k := range min(f.shape.keepers, founders) {
-		seeds = append(seeds, fmt.Sprintf("%s:%d", f.advertised((seed+k)%f.shape.keepers), f.ctl))
+	for k := range min(f.shape.keepers, initialKeepers) {
+		seeds = append(seeds, fmt.Sprintf("%s:%d", f.advertisedIP((seed+k)%f.shape.keepers), f.controlPort))
 	}
 	lines := []string{
-		"node_name=" + p.name, "serves=" + serves, "ip=" + f.advertised(i), "zone=" + p.hall,
-		fmt.Sprintf("listen.front=%s:%d", f.advertised(i), f.front), fmt.Sprintf("listen.ready=%s:%d", f.advertised(i), f.ready),
-		fmt.Sprintf("listen.control=%s:%d", f.advertised(i), f.ctl), fmt.Sprintf("port_range=%d,%d", f.inner, f.inner+15),
+		"node_name=" + p.name, "serves=" + serves, "ip=" + f.advertisedIP(i), "zone=" + p.hall,
+		fmt.Sprintf("listen.front=%s:%d", f.advertisedIP(i), f.frontPort), fmt.Sprintf("listen.ready=%s:%d", f.advertisedIP(i), f.readyPort),
+		fmt.Sprintf("listen.control=%s:%d", f.advertisedIP(i), f.controlPort), fmt.Sprintf("port_range=%d,%d", f.innerPort, f.innerPort+15),
 		"zones.hall-1=r", "zones.hall-2=r", "zones.hall-3=r", "listen.inner=" + p.rpc, "seeds=" + strings.Join(seeds, ","), fmt.Sprintf("bootstrap=%t", first),
 		"data_dir=" + p.data, "limits.memory_mb=200", "limits.max_fds=2000", "heartbeat_ms=300", "bounds.grace_s=6",
 		"bounds.retry_budget_ratio=0.2", "bounds.budget_extra=50", "bounds.budget_window_s=10", "a.later=field",
 		fmt.Sprintf("bounds.exposure_share=%g", exposureShare), fmt.Sprintf("bounds.exposure_slack=%d", exposureSlack),
 		fmt.Sprintf("bounds.cold_overage=%g", coldOverage), fmt.Sprintf("bounds.cold_slack=%d", coldSlack),
 	}
-	// A process may read the file at any moment: it is replaced whole.
+	// A process may read the file at any time, so replace it atomically.
 	path := f.path(p.name + ".conf")
 	if err := os.WriteFile(path+".new", []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
 		return err
@@ -173,8 +174,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// founded tells all processes that the system is not new any more.
-func (f *fleet) founded() error {
+// clearBootstrap rewrites the settings of all processes with bootstrap off.
+func (f *fleet) clearBootstrap() error {
 	for i, name := range f.order {
 		p := f.processes[name]
 		serves := map[string]string{"keeper": "control", "router": "front", "side": "side"}[p.role]
@@ -185,29 +186,29 @@
 	return nil
 }
 
-// addServer starts a backend server's stand-in on a host.
+// addServer starts the stand-in of a backend server on a host.
 func (f *fleet) addServer(name, service, hall, host string) {
 	r := &standin.Replica{
-		ID: "i-" + name, Service: service, Hall: hall, Address: fmt.Sprintf("%s:%d", host, freePort()), Control: f.controls,
+		ID: "i-" + name, Service: service, Hall: hall, Address: fmt.Sprintf("%s:%d", host, freePort()), Control: f.controlAddresses,
 		Every: 300 * time.Millisecond, EventEvery: 3 * time.Millisecond, Work: 20 * time.Millisecond, Version: firstVersion,
 	}
 	f.runServer(name, r)
 }
 
-// runServer starts a stand-in.
+// runServer runs a stand-in.
 func (f *fleet) runServer(name string, r *standin.Replica) {
 	f.mu.Lock()
-	f.server[name] = r
+	f.replicas[name] = r
 	f.mu.Unlock()
 	go func() { _ = r.Run(f.ctx) }()
 }
 
-// controls lists where operators and backend servers call.
-func (f *fleet) controls() []string {
+// controlAddresses lists the keepers' addresses for operators and backend servers.
+func (f *fleet) controlAddresses() []string {
 	var out []string
 	for i, name := range f.order {
 		if f.processes[name].role == "keeper" {
-			out = append(out, fmt.Sprintf("%s:%d", f.advertised(i), f.ctl))
+			out = append(out, fmt.Sprintf("%s:%d", f.advertisedIP(i), f.controlPort))
 		}
 	}
 	return out
@@ -224,7 +225,7 @@
 
 func (f *fleet) startAll() error {
 	for _, p := range f.processes {
-		go p.relay.run()
+		go p.proxy.run()
 	}
 	for _, name := range f.order {
 		if err := f.start(f.processes[name]); err != nil {
@@ -234,22 +235,22 @@
 	if err := f.declare(fleetDocument{number: 1, prepaid: f.shape.prepaid}, startTimeout); err != nil {
 		return err
 	}
-	if err := f.founded(); err != nil {
+	if err := f.clearBootstrap(); err != nil {
 		return err
 	}
-	return eventually(startTimeout, "all routers serve", func() bool {
+	return eventually(startTimeout, "all routers serve requests", func() bool {
 		for i, name := range f.order {
 			if f.processes[name].role == "router" && !f.isReady(i) {
 				return false
 			}
 		}
-		a := f.ask(fleetRequest{kind: "stream", router: "router-1", events: 2})
-		return a.whole
+		a := f.do(fleetRequest{kind: "stream", router: "router-1", events: 2})
+		return a.complete
 	})
 }
 
 func (f *fleet) isReady(i int) bool {
-	resp, err := http.Get(fmt.Sprintf("http://%s:%d/v1/ready", f.advertised(i), f.ready))
+	resp, err := http.Get(fmt.Sprintf("http://%s:%d/v1/ready", f.advertisedIP(i), f.readyPort))
 	if err != nil {
 		return false
 	}
@@ -265,8 +266,8 @@
 	}
 }
 
-// leaderOf returns the keeper that leads, by its figures.
-func (f *fleet) leaderOf() string {
+// leadingKeeper returns the keeper that leads according to its metrics, or "".
+func (f *fleet) leadingKeeper() string {
 	for _, name := range f.order {
 		p := f.processes[name]
 		if p.role != "keeper" || !p.running() || p.frozen {
@@ -279,15 +280,15 @@
 	return ""
 }
 
-// fleetDocument is what an operator declares.
+// fleetDocument is an operator's declaration.
 type fleetDocument struct {
 	number  int
 	prepaid int
-	// routes is how many idle routes it has besides those in use.
+	// routes is the number of additional routes without traffic.
 	routes int
-	// drop leaves out the route of a kind.
+	// drop omits the route with this path prefix.
 	drop string
-	// bad makes it invalid.
+	// bad makes the declaration invalid.
 	bad bool
 }
 
@@ -312,7 +313,7 @@
 	services := []any{
 		object{
 			"name": "pool", "max_conns": 200, "engine": object{"slots": 8, "stride": 1},
-			"cold_start_s": coldTime.Seconds(), "cold_per_s": coldRate,
+			"cold_start_s": coldDuration.Seconds(), "cold_per_s": coldRate,
 		},
 		object{"name": "desk", "max_conns": 200},
 	}
@@ -324,17 +325,17 @@
 		"tenants": []any{object{"name": "clerks", "api_keys": []string{"k"}, "prepaid": d.prepaid}},
 	})
 	if err != nil {
-		panic(err) // plain maps always encode
+		panic(err) // plain maps can always be encoded
 	}
 	return data
 }
 
-// put sends a document to one keeper and returns the status; 0 for none.
+// put sends a declaration to one keeper and returns the status, or 0 without a response.
 func (f *fleet) put(address string, body []byte) int {
 	return f.post("http://"+address+"/v1/Config.Put", bytes.NewReader(body))
 }
 
-// post makes one call of the operator and returns the status; 0 for none.
+// post sends one operator call and returns the status, or 0 without a response.
 func (f *fleet) post(url string, body io.Reader) int {
 	ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 	defer cancel()
@@ -350,18 +351,19 @@
 	return resp.StatusCode
 }
 
-// declare sends a document to one keeper after the other until one takes it.
-func (f *fleet) declare(d fleetDocument, within time.Duration) error {
+// declare sends a declaration to the keepers in turn until one accepts it.
+func (f *fleet) declare(d fleetDocument, timeout time.Duration) error {
 	n := 0
-	return eventually(within, fmt.Sprintf("declaration %d is taken", d.number), func() bool {
+	return eventually(timeout, fmt.Sprintf("declaration %d is accepted", d.number), func() bool {
 		n++
-		c := f.controls()
+		c := f.controlAddresses()
 		return f.put(c[n%len(c)], d.encode()) == http.StatusOK
 	})
 }
 
-// document reads the number of the newest declaration at one keeper; 0 for none.
-func (f *fleet) document(address string) int {
+// declarationAt returns the number of the current declaration according to one keeper, or 0 if
+// unknown.
+func (f *fleet) declarationAt(address string) int {
 	ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/Config.Get", nil)
@@ -382,11 +384,11 @@
 	return d.Number
 }
 
-// metric returns the value of a process's figure, empty where it does not tell it.
+// metric returns the value of a metric of a process, or "" if it is not available.
 func (f *fleet) metric(process, name string) string {
 	ctx, cancel := context.WithTimeout(f.ctx, 300*time.Millisecond)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s:9464/metrics", f.advertised(f.indexOf(process))), nil)
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s:9464/metrics", f.advertisedIP(f.indexOf(process))), nil)
 	if err != nil {
 		return ""
 	}
--- a/internal/scenario/fleetcmds_test.go
+++ b/internal/scenario/fleetcmds_test.go
@@ -36,42 +36,42 @@
 
 func fleetOf(ts *testscript.TestScript) *fleet { return *ts.Value(fleetKey{}).(**fleet) }
 
-// fleet [keepers=3] [routers=2] [relays=2] [engines=2] [desks=2] [prepaid=N]
-// starts a fleet with declaration 1.
+// fleet [keepers=3] [routers=2] [relays=2] [engines=2] [desks=2] [prepaid=N] starts a fleet with
+// declaration 1.
 func cmdFleet(ts *testscript.TestScript, _ bool, args []string) {
 	sh := fleetShape{keepers: 3, routers: 2, relays: 2, engines: 2, desks: 2, prepaid: 10_000_000}
-	options(ts, args, map[string]func(string) error{
+	parseOptions(ts, args, map[string]func(string) error{
 		"keepers": toInt(&sh.keepers), "routers": toInt(&sh.routers), "relays": toInt(&sh.relays),
 		"engines": toInt(&sh.engines), "desks": toInt(&sh.desks), "prepaid": toInt(&sh.prepaid),
 	})
-	atOnce <- struct{}{}
-	ts.Defer(func() { <-atOnce })
+	systemSlots <- struct{}{}
+	ts.Defer(func() { <-systemSlots })
 	f := newFleet(ts.MkAbs("."), lookPath(ts, "sumachead-node"), sh)
 	*ts.Value(fleetKey{}).(**fleet) = f
-	of(ts).sys = f.system
+	scriptOf(ts).sys = f.system
 	ts.Defer(func() {
 		f.close()
 		if names := f.crashes(); len(names) > 0 {
-			of(ts).dumpLogs(ts)
+			scriptOf(ts).dumpLogs(ts)
 			ts.Fatalf("crashed or raced: %v", names)
 		}
 	})
 	ts.Check(f.build())
 	if err := f.startAll(); err != nil {
-		of(ts).dumpLogs(ts)
+		scriptOf(ts).dumpLogs(ts)
 		ts.Fatalf("%v", err)
 	}
 }
 
-// crash NAME... kills processes; "leader" is the keeper that leads, "keepers" and
-// "all" are several at once.
+// crash NAME... kills processes: "leader" is the leading keeper, "keepers" and "all" are groups
+// of processes.
 func cmdFleetCrash(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	var names []string
 	for _, a := range args {
 		switch a {
 		case "leader":
-			names = append(names, f.leaderOf())
+			names = append(names, f.leadingKeeper())
 		case "keepers", "all":
 			for _, n := range f.order {
 				if a == "all" || f.processes[n].role == "keeper" {
@@ -94,24 +94,24 @@
 	ts.Setenv("CRASHED", strings.Join(names, " "))
 }
 
-// declare NUMBER [prepaid=N] [routes=N] [drop=KIND] [bad=true] [at=KEEPER]
-// [within=10s] declares; with at, once, and the status must be want=200.
+// declare NUMBER [prepaid=N] [routes=N] [drop=PREFIX] [bad=true] [at=KEEPER] [within=10s] sends a
+// declaration. With at, it goes to that keeper only, which must answer with want=200.
 func cmdDeclare(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	d := fleetDocument{prepaid: f.shape.prepaid}
 	ts.Check(toInt(&d.number)(args[0]))
-	at, want, within := "", http.StatusOK, 10*time.Second
-	options(ts, args[1:], map[string]func(string) error{
+	at, want, timeout := "", http.StatusOK, 10*time.Second
+	parseOptions(ts, args[1:], map[string]func(string) error{
 		"prepaid": toInt(&d.prepaid), "routes": toInt(&d.routes), "drop": toString(&d.drop), "bad": toBool(&d.bad),
-		"at": toString(&at), "want": toInt(&want), "within": toDuration(&within),
+		"at": toString(&at), "want": toInt(&want), "within": toDuration(&timeout),
 	})
 	if at == "" {
-		ts.Check(f.declare(d, within))
+		ts.Check(f.declare(d, timeout))
 		return
 	}
 	var got int
-	err := eventually(within, "an answer", func() bool {
-		got = f.put(fmt.Sprintf("%s:%d", f.advertised(f.indexOf(at)), f.ctl), d.encode())
+	err := eventually(timeout, "a response", func() bool {
+		got = f.put(fmt.Sprintf("%s:%d", f.advertisedIP(f.indexOf(at)), f.controlPort), d.encode())
 		return got != 0 && got != http.StatusServiceUnavailable
 	})
 	ts.Check(err)
@@ -120,23 +120,23 @@
 	}
 }
 
-// document NUMBER [within=10s] waits until every running keeper answers with the
-// declaration of that number. None may answer with another meanwhile.
+// document NUMBER [within=10s] waits until every running keeper returns the declaration of that
+// number. Meanwhile none may return another one.
 func cmdDocument(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	var want int
 	ts.Check(toInt(&want)(args[0]))
-	within := 10 * time.Second
-	options(ts, args[1:], map[string]func(string) error{"within": toDuration(&within)})
-	ts.Check(eventually(within, fmt.Sprintf("all keepers answer with declaration %d", want), func() bool {
+	timeout := 10 * time.Second
+	parseOptions(ts, args[1:], map[string]func(string) error{"within": toDuration(&timeout)})
+	ts.Check(eventually(timeout, fmt.Sprintf("all keepers answer with declaration %d", want), func() bool {
 		for i, name := range f.order {
 			p := f.processes[name]
 			if p.role != "keeper" || !p.running() || p.frozen {
 				continue
 			}
-			got := f.document(fmt.Sprintf("%s:%d", f.advertised(i), f.ctl))
+			got := f.declarationAt(fmt.Sprintf("%s:%d", f.advertisedIP(i), f.controlPort))
 			if got != 0 && got != want {
-				ts.Fatalf("%s answers with declaration %d, the newest is %d", name, got, want)
+				ts.Fatalf("%s returned declaration %d, want %d", name, got, want)
 			}
 			if got == 0 {
 				return false
@@ -147,22 +147,23 @@
 }
 
 // ask KIND [n=1] [at=4] [router=any] [events=5] [prompt=10] [key=k] [path=P] [leave=D]
-// [want=STATUS] [whole=LEAST] [within=D] sends requests, at a time as at says. Who is
-// told when to come back does so, until its time is up.
+// [want=STATUS] [whole=MIN] [within=D] sends n requests, at most at concurrently, and honors
+// Retry-After. At least whole of them, by default all, must have a complete response or the
+// wanted status.
 func cmdAsk(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	q := fleetRequest{kind: args[0], events: 5, prompt: 10}
-	n, at, want, whole, within := 1, 4, 0, -1, time.Duration(0)
-	options(ts, args[1:], map[string]func(string) error{
-		"n": toInt(&n), "at": toInt(&at), "router": toString(&q.router), "events": toInt(&q.events), "prompt": toInt(&q.prompt),
-		"key": toString(&q.key), "path": toString(&q.path), "leave": toDuration(&q.leave), "want": toInt(&want), "whole": toInt(&whole),
-		"within": toDuration(&within),
+	n, concurrency, want, minOK, maxTime := 1, 4, 0, -1, time.Duration(0)
+	parseOptions(ts, args[1:], map[string]func(string) error{
+		"n": toInt(&n), "at": toInt(&concurrency), "router": toString(&q.router), "events": toInt(&q.events), "prompt": toInt(&q.prompt),
+		"key": toString(&q.key), "path": toString(&q.path), "leave": toDuration(&q.cancelAfter), "want": toInt(&want), "whole": toInt(&minOK),
+		"within": toDuration(&maxTime),
 	})
 	outcomes := make(map[string]int)
-	got, slow := 0, time.Duration(0)
+	okCount, slowest := 0, time.Duration(0)
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	slots := make(chan struct{}, at)
+	slots := make(chan struct{}, concurrency)
 	for i := range n {
 		slots <- struct{}{}
 		all.Go(func() {
@@ -171,34 +172,34 @@
 			if one.router == "" {
 				one.router = fmt.Sprintf("router-%d", i%f.shape.routers+1)
 			}
-			c := f.comeBack(one)
+			c := f.doWithRetry(one)
 			mu.Lock()
 			defer mu.Unlock()
 			outcomes[c.String()]++
-			if c.whole || (want != 0 && c.status == want) {
-				got++
+			if c.complete || (want != 0 && c.status == want) {
+				okCount++
 			}
-			slow = max(slow, c.ended.Sub(c.sent))
+			slowest = max(slowest, c.endedAt.Sub(c.sentAt))
 		})
 	}
 	all.Wait()
-	_, _ = fmt.Fprintf(ts.Stdout(), "%v slowest %v\n", outcomes, slow)
-	if whole < 0 {
-		whole = n
+	_, _ = fmt.Fprintf(ts.Stdout(), "%v slowest %v\n", outcomes, slowest)
+	if minOK < 0 {
+		minOK = n
 	}
-	if got < whole {
-		of(ts).dumpLogs(ts)
-		ts.Fatalf("%d of %d as wanted, %d at least: %v", got, n, whole, outcomes)
+	if okCount < minOK {
+		scriptOf(ts).dumpLogs(ts)
+		ts.Fatalf("%d of %d requests succeeded, want at least %d: %v", okCount, n, minOK, outcomes)
 	}
-	if within > 0 && slow > within {
-		ts.Fatalf("the slowest took %v", slow)
+	if maxTime > 0 && slowest > maxTime {
+		ts.Fatalf("the slowest request took %v", slowest)
 	}
 }
 
-// server NAME drain|leave|cold|FAULTS-AS-JSON acts on a backend server's stand-in; a cold
-// one has started anew.
+// server NAME drain|leave|cold|FAULTS-AS-JSON acts on the stand-in of a backend server; "cold"
+// restarts it cold.
 func cmdServer(ts *testscript.TestScript, _ bool, args []string) {
-	r := fleetOf(ts).server[args[0]]
+	r := fleetOf(ts).replicas[args[0]]
 	if r == nil {
 		ts.Fatalf("no backend server %q", args[0])
 	}
@@ -207,13 +208,13 @@
 	switch args[1] {
 	case "drain":
 		if !r.Drain(ctx) {
-			ts.Fatalf("nobody acknowledged")
+			ts.Fatalf("no keeper acknowledged")
 		}
 	case "cold":
-		r.StartAnew(coldTime)
+		r.StartAnew(coldDuration)
 	case "leave":
 		if !r.Leave(ctx) {
-			ts.Fatalf("nobody acknowledged")
+			ts.Fatalf("no keeper acknowledged")
 		}
 	default:
 		var faults standin.ReplicaFaults
@@ -222,18 +223,18 @@
 	}
 }
 
-// promises [prepaid=N] checks what must always hold.
+// promises [prepaid=N] checks the invariants of the fleet.
 func cmdPromises(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
 	prepaid := f.shape.prepaid
-	options(ts, args, map[string]func(string) error{"prepaid": toInt(&prepaid)})
-	if broken := f.promises(prepaid); len(broken) > 0 {
-		of(ts).dumpLogs(ts)
-		ts.Fatalf("broken:\n%s", strings.Join(broken, "\n"))
+	parseOptions(ts, args, map[string]func(string) error{"prepaid": toInt(&prepaid)})
+	if violations := f.violations(prepaid); len(violations) > 0 {
+		scriptOf(ts).dumpLogs(ts)
+		ts.Fatalf("broken:\n%s", strings.Join(violations, "\n"))
 	}
 }
 
-// logged NAME TEXT... checks that a process has written a line with all texts.
+// logged NAME TEXT... checks that a process has logged a line that contains all texts.
 func cmdLogged(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(eventually(3*time.Second, "a line with "+strings.Join(args[1:], ", "), func() bool {
 		data, err := os.ReadFile(fleetOf(ts).path(args[0] + ".log"))
--- a/internal/scenario/fleetsoak_faults_test.go
+++ b/internal/scenario/fleetsoak_faults_test.go
@@ -16,20 +16,20 @@
 	"sumachead/internal/standin"
 )
 
-// The kinds of faults that the soak of a declared fleet mixes.
+// The kinds of faults that the soak test of a fleet injects.
 
 const (
-	// catchUp is how long a keeper with a new disk may take until another may be
-	// lost: some election timeouts.
-	catchUp = 5 * time.Second
-	// diskFaultLasts is how long a keeper whose disk is lost or torn is down: less
+	// catchUpTimeout is how long a keeper with a new disk may take to catch up before another
+	// disk may be lost: a few election timeouts.
+	catchUpTimeout = 5 * time.Second
+	// diskFaultDuration is how long a keeper is down whose disk was wiped or torn. It is shorter
 	// than an election timeout.
-	diskFaultLasts = 200 * time.Millisecond
+	diskFaultDuration = 200 * time.Millisecond
 )
 
-// fault causes one fault and, where it lasts, ends it.
+// fault injects one random fault and, if it lasts, ends it.
 func (s *fleetSoak) fault(r *rand.Rand) {
-	lasts := time.Duration(300+r.IntN(2500)) * time.Millisecond
+	duration := time.Duration(300+r.IntN(2500)) * time.Millisecond
 	pick := func(class string, n int) *process { return s.f.processes[fmt.Sprintf("%s-%d", class, r.IntN(n)+1)] }
 	router := func() *process { return pick("router", s.f.shape.routers) }
 	keeper := func() *process { return pick("keeper", s.f.shape.keepers) }
@@ -38,239 +38,239 @@
 		name string
 		do   func()
 	}{
-		{"kill router", func() { s.bounce(router(), (*process).kill, lasts/4) }},
-		{"kill keeper", func() { s.bounce(keeper(), (*process).kill, lasts) }},
-		{"kill relay", func() { s.bounce(relay(), (*process).kill, lasts/4) }},
-		{"stop router", func() { s.bounce(router(), s.stopProcess, lasts/4) }},
-		{"stop keeper", func() { s.bounce(keeper(), s.stopProcess, lasts/4) }},
-		{"freeze router", func() { s.freeze(router(), lasts) }},
-		{"freeze keeper", func() { s.freeze(keeper(), lasts) }},
+		{"kill router", func() { s.restartAfter(router(), (*process).kill, duration/4) }},
+		{"kill keeper", func() { s.restartAfter(keeper(), (*process).kill, duration) }},
+		{"kill relay", func() { s.restartAfter(relay(), (*process).kill, duration/4) }},
+		{"stop router", func() { s.restartAfter(router(), s.stopProcess, duration/4) }},
+		{"stop keeper", func() { s.restartAfter(keeper(), s.stopProcess, duration/4) }},
+		{"freeze router", func() { s.freeze(router(), duration) }},
+		{"freeze keeper", func() { s.freeze(keeper(), duration) }},
 		{"wipe keeper", func() { s.wipe(keeper()) }},
-		{"cut routers from keepers", func() { s.cut("router", "keeper", lasts) }},
-		{"cut a router from keepers", func() { s.cut(router().name, "keeper", lasts) }},
-		{"cut a keeper", func() { s.cut(keeper().name, "keeper", lasts) }},
-		{"cut a hall", func() { s.cut("hall-1", "hall-2", lasts) }},
-		{"cut routers from keepers one way", func() { s.cutOneWay("router", "keeper", lasts) }},
-		{"cut keepers from routers one way", func() { s.cutOneWay("keeper", "router", lasts) }},
-		{"cut keepers from a keeper one way", func() { s.cutOneWay("keeper", keeper().name, lasts) }},
-		{"delay keepers", func() { s.delay("keeper", "keeper", r, lasts) }},
-		{"delay routers and keepers", func() { s.delay("router", "keeper", r, lasts) }},
+		{"partition routers from keepers", func() { s.cut("router", "keeper", duration) }},
+		{"partition a router from keepers", func() { s.cut(router().name, "keeper", duration) }},
+		{"partition a keeper from keepers", func() { s.cut(keeper().name, "keeper", duration) }},
+		{"partition two halls", func() { s.cut("hall-1", "hall-2", duration) }},
+		{"block routers to keepers", func() { s.cutOneWay("router", "keeper", duration) }},
+		{"block keepers to routers", func() { s.cutOneWay("keeper", "router", duration) }},
+		{"block keepers to a keeper", func() { s.cutOneWay("keeper", keeper().name, duration) }},
+		{"delay keepers", func() { s.delay("keeper", "keeper", r, duration) }},
+		{"delay routers and keepers", func() { s.delay("router", "keeper", r, duration) }},
 		{"reset connections of keepers", func() { s.f.net.reset("keeper", "keeper") }},
 		{"reset connections of routers", func() { s.f.net.reset("router", "keeper") }},
-		{"tear a keeper's files", func() { s.tear(r, keeper()) }},
+		{"tear a keeper's files", func() { s.tearFiles(r, keeper()) }},
 		{"kill all keepers", func() { s.killAll("keeper") }},
-		{"server faults", func() { s.serverFault(r, lasts) }},
-		{"new server for an old one", func() { s.replaceServer(r) }},
+		{"server faults", func() { s.serverFault(r, duration) }},
+		{"replace a server", func() { s.replaceServer(r) }},
 	}
 	k := kinds[r.IntN(len(kinds))]
-	s.note(s.faults, k.name)
+	s.count(s.faults, k.name)
 	k.do()
 }
 
-// peerFault causes a fault among routers, which lend each other money, or exchanges the
-// seeds that processes are told.
+// peerFault injects a fault between routers, which lend each other escrow, or changes the seeds
+// that processes are given.
 func (s *fleetSoak) peerFault(r *rand.Rand) {
-	lasts := time.Duration(300+r.IntN(2500)) * time.Millisecond
+	duration := time.Duration(300+r.IntN(2500)) * time.Millisecond
 	kinds := []struct {
 		name string
 		do   func()
 	}{
-		{"cut routers from each other", func() { s.cut("router", "router", lasts) }},
-		{"cut routers from each other one way", func() { s.cutOneWay("router", "router-1", lasts) }},
-		{"delay routers to each other", func() { s.delay("router", "router", r, lasts) }},
+		{"partition routers from each other", func() { s.cut("router", "router", duration) }},
+		{"block routers to a router", func() { s.cutOneWay("router", "router-1", duration) }},
+		{"delay routers to each other", func() { s.delay("router", "router", r, duration) }},
 		{"reset connections of routers to each other", func() { s.f.net.reset("router", "router") }},
-		{"exchange the seeds", func() { s.exchangeSeeds(r) }},
+		{"change the seeds", func() { s.exchangeSeeds(r) }},
 	}
 	k := kinds[r.IntN(len(kinds))]
-	s.note(s.faults, k.name)
+	s.count(s.faults, k.name)
 	k.do()
 }
 
-// hallFault vacates a data hall for a time, or has an engine start anew and cold.
+// hallFault vacates a data hall for a while or restarts an engine cold.
 func (s *fleetSoak) hallFault(r *rand.Rand) {
 	kinds := []struct {
 		name string
 		do   func()
 	}{
 		{"vacate a hall", func() { s.vacate(r) }},
-		{"an engine starts anew", func() { s.startAnew(r) }},
+		{"restart an engine cold", func() { s.restartCold(r) }},
 	}
 	k := kinds[r.IntN(len(kinds))]
-	s.note(s.faults, k.name)
+	s.count(s.faults, k.name)
 	k.do()
 }
 
-// vacate vacates a data hall for some seconds, longer than it may take to be in force. An
-// order is sent until it is acknowledged, to one keeper after the other.
+// vacate vacates a random data hall for longer than the order may take to be in force. Each order
+// is sent to the keepers in turn until one acknowledges it.
 func (s *fleetSoak) vacate(r *rand.Rand) {
 	hall := hallName(r.IntN(3))
-	lasts := vacateWithin + time.Duration(r.IntN(2000))*time.Millisecond
+	duration := maxVacateDelay + time.Duration(r.IntN(2000))*time.Millisecond
 	for _, vacated := range []bool{true, false} {
-		if err := s.f.vacate(hall, vacated, settle); err != nil {
-			s.breaks("%v", err)
+		if err := s.f.vacate(hall, vacated, recoveryTimeout); err != nil {
+			s.recordViolation("%v", err)
 			return
 		}
 		if vacated {
-			s.note(s.faults, "vacated "+hall)
-			time.Sleep(lasts)
+			s.count(s.faults, "vacated "+hall)
+			time.Sleep(duration)
 		}
 	}
 }
 
-// startAnew makes an engine another life, which is cold at first.
-func (s *fleetSoak) startAnew(r *rand.Rand) {
+// restartCold replaces an engine's incarnation by a cold one.
+func (s *fleetSoak) restartCold(r *rand.Rand) {
 	names := slices.DeleteFunc(slices.Sorted(maps.Keys(s.servers())), func(n string) bool { return !strings.HasPrefix(n, "engine-") })
-	s.servers()[names[r.IntN(len(names))]].StartAnew(coldTime)
+	s.servers()[names[r.IntN(len(names))]].StartAnew(coldDuration)
 }
 
-// exchangeSeeds tells all processes other keepers as seeds; those that run read it by
-// themselves.
+// exchangeSeeds rewrites the settings of all processes with other keepers as seeds. Running
+// processes reload them.
 func (s *fleetSoak) exchangeSeeds(r *rand.Rand) {
 	s.f.mu.Lock()
 	s.f.firstSeed = r.IntN(s.f.shape.keepers)
 	s.f.mu.Unlock()
-	if err := s.f.founded(); err != nil {
-		s.breaks("%v", err)
+	if err := s.f.clearBootstrap(); err != nil {
+		s.recordViolation("%v", err)
 	}
 }
 
-// bounce ends a process and starts it again after a time.
-func (s *fleetSoak) bounce(p *process, end func(*process), after time.Duration) {
-	if !s.claim(p) {
+// restartAfter stops a process with end and starts it again after a delay.
+func (s *fleetSoak) restartAfter(p *process, end func(*process), delay time.Duration) {
+	if !s.acquire(p) {
 		return
 	}
-	defer s.free(p)
+	defer s.release(p)
 	end(p)
-	time.Sleep(after)
-	s.startAgain(p)
+	time.Sleep(delay)
+	s.restart(p)
 }
 
-// startAgain starts a process and waits until it runs its program: a signal that
-// comes before ends it by the kernel's default, which is no planned stop.
-func (s *fleetSoak) startAgain(p *process) {
+// restart starts a process and waits for its first log line: before its signal handler is
+// installed, a signal kills it instead of stopping it gracefully.
+func (s *fleetSoak) restart(p *process) {
 	log := s.f.path(p.name + ".log")
 	var before int
 	if data, err := os.ReadFile(log); err == nil {
 		before = len(data)
 	}
 	if err := s.f.start(p); err != nil {
-		s.breaks("%s did not start: %v", p.name, err)
+		s.recordViolation("%s did not start: %v", p.name, err)
 		return
 	}
-	err := eventually(startTimeout, p.name+" has written its first line", func() bool {
+	err := eventually(startTimeout, p.name+" has logged its first line", func() bool {
 		data, err := os.ReadFile(log)
 		return err == nil && strings.Contains(string(data[min(before, len(data)):]), "Starting.")
 	})
 	if err != nil {
-		s.breaks("%v", err)
+		s.recordViolation("%v", err)
 	}
 }
 
-// stopProcess ends a process as planned.
+// stopProcess stops a process gracefully.
 func (s *fleetSoak) stopProcess(p *process) {
 	if err := p.stop(); err != nil {
-		s.breaks("%v", err)
+		s.recordViolation("%v", err)
 	}
 }
 
-// claim makes sure that one fault at a time deals with a process.
-func (s *fleetSoak) claim(p *process) bool {
+// acquire reserves a running process for a fault, unless another fault holds it.
+func (s *fleetSoak) acquire(p *process) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busy[p.name] || !p.running() {
 		return false
 	}
 	s.busy[p.name] = true
-	s.disturbed[p.name] = append(s.disturbed[p.name], time.Now())
+	s.faultTimes[p.name] = append(s.faultTimes[p.name], time.Now())
 	return true
 }
 
-// free ends a claim.
-func (s *fleetSoak) free(p *process) {
+// release ends the reservation of a process.
+func (s *fleetSoak) release(p *process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.busy, p.name)
-	s.disturbed[p.name] = append(s.disturbed[p.name], time.Now())
+	s.faultTimes[p.name] = append(s.faultTimes[p.name], time.Now())
 }
 
-// freeze stops a process for a time without ending it.
-func (s *fleetSoak) freeze(p *process, lasts time.Duration) {
-	if !s.claim(p) {
+// freeze suspends a process for a while.
+func (s *fleetSoak) freeze(p *process, duration time.Duration) {
+	if !s.acquire(p) {
 		return
 	}
-	defer s.free(p)
+	defer s.release(p)
 	p.signal(syscall.SIGSTOP)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	p.signal(syscall.SIGCONT)
 }
 
-// wipe loses a keeper's disk; one at a time, and only when the last has caught up.
+// wipe loses the disk of a keeper, one at a time and only once the previous one has caught up.
 func (s *fleetSoak) wipe(p *process) {
 	s.mu.Lock()
-	early := time.Since(s.wiped) < catchUp
+	early := time.Since(s.lastWipe) < catchUpTimeout
 	if !early {
-		s.wiped = time.Now().Add(time.Hour) // no other disk until this one is back
+		s.lastWipe = time.Now().Add(time.Hour) // no other wipe until this keeper is back
 	}
 	s.mu.Unlock()
 	if early {
 		return
 	}
-	s.bounce(p, func(p *process) {
+	s.restartAfter(p, func(p *process) {
 		p.kill()
 		if err := os.RemoveAll(p.data); err != nil {
-			s.breaks("%v", err)
+			s.recordViolation("%v", err)
 		}
-	}, diskFaultLasts)
+	}, diskFaultDuration)
 	s.mu.Lock()
-	s.wiped = time.Now()
+	s.lastWipe = time.Now()
 	s.mu.Unlock()
 }
 
-// cut cuts the way between two places for a time, both ways.
-func (s *fleetSoak) cut(a, b string, lasts time.Duration) {
-	s.note(s.faults, fmt.Sprintf("cut %s and %s for %v", a, b, lasts))
-	s.f.net.set(a, b, true)
-	time.Sleep(lasts)
-	s.f.net.set(a, b, false)
+// cut partitions two labels from each other for a while.
+func (s *fleetSoak) cut(a, b string, duration time.Duration) {
+	s.count(s.faults, fmt.Sprintf("partition %s and %s for %v", a, b, duration))
+	s.f.net.setBlocked(a, b, true)
+	time.Sleep(duration)
+	s.f.net.setBlocked(a, b, false)
 }
 
-// cutOneWay cuts the way from one place to another for a time; the way back stays.
-func (s *fleetSoak) cutOneWay(from, to string, lasts time.Duration) {
-	s.note(s.faults, fmt.Sprintf("cut %s from %s for %v", from, to, lasts))
-	s.f.net.setOneWay(from, to, true)
-	time.Sleep(lasts)
-	s.f.net.setOneWay(from, to, false)
+// cutOneWay blocks one direction between two labels for a while.
+func (s *fleetSoak) cutOneWay(from, to string, duration time.Duration) {
+	s.count(s.faults, fmt.Sprintf("block %s to %s for %v", from, to, duration))
+	s.f.net.setBlockedOneWay(from, to, true)
+	time.Sleep(duration)
+	s.f.net.setBlockedOneWay(from, to, false)
 }
 
-// delay makes bytes between two places late, by up to half a second.
-func (s *fleetSoak) delay(a, b string, r *rand.Rand, lasts time.Duration) {
+// delay adds up to half a second of latency between two labels for a while.
+func (s *fleetSoak) delay(a, b string, r *rand.Rand, duration time.Duration) {
 	s.f.net.setDelay(a, b, time.Duration(10+r.IntN(490))*time.Millisecond)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	s.f.net.setDelay(a, b, 0)
 }
 
-// tear kills a keeper and leaves parts of writes behind the ends of its files, as a
-// loss of power in the middle of a write does.
-func (s *fleetSoak) tear(r *rand.Rand, p *process) {
-	s.bounce(p, func(p *process) {
+// tearFiles kills a keeper and appends partial writes to its files, as a power failure in the
+// middle of a write does.
+func (s *fleetSoak) tearFiles(r *rand.Rand, p *process) {
+	s.restartAfter(p, func(p *process) {
 		p.kill()
 		logs, err := filepath.Glob(filepath.Join(p.data, "group", "log-*"))
 		if err != nil {
-			s.breaks("%v", err)
+			s.recordViolation("%v", err)
 		}
 		slices.Sort(logs)
 		torn := append(logs[max(len(logs)-1, 0):], filepath.Join(p.data, "servers"))
 		for _, name := range torn {
 			s.appendNoise(r, name)
 		}
-	}, diskFaultLasts)
+	}, diskFaultDuration)
 }
 
-// appendNoise adds some bytes to a file.
+// appendNoise appends random bytes to a file.
 func (s *fleetSoak) appendNoise(r *rand.Rand, name string) {
 	f, err := os.OpenFile(name, os.O_APPEND|os.O_WRONLY|os.O_CREATE, 0o600)
 	if err != nil {
-		s.breaks("%v", err)
+		s.recordViolation("%v", err)
 		return
 	}
 	noise := make([]byte, 1+r.IntN(60))
@@ -279,7 +279,7 @@
 	}
 	_, err = f.Write(noise)
 	if err := errors.Join(err, f.Close()); err != nil {
-		s.breaks("%v", err)
+		s.recordViolation("%v", err)
 	}
 }
 
@@ -288,18 +288,18 @@
 	var all sync.WaitGroup
 	for _, name := range s.f.order {
 		if p := s.f.processes[name]; p.role == class {
-			all.Go(func() { s.bounce(p, (*process).kill, 300*time.Millisecond) })
+			all.Go(func() { s.restartAfter(p, (*process).kill, 300*time.Millisecond) })
 		}
 	}
 	all.Wait()
 }
 
-// serverFault makes a backend server misbehave for a time.
-func (s *fleetSoak) serverFault(r *rand.Rand, lasts time.Duration) {
+// serverFault injects a fault into a backend server for a while.
+func (s *fleetSoak) serverFault(r *rand.Rand, duration time.Duration) {
 	faults := []standin.ReplicaFaults{{LoseAnswer: true}, {BreakAfter: 2}, {Surplus: true}, {Refuse: true}, {Hang: true}}
-	_, server := s.anyServer(r)
+	_, server := s.randomServer(r)
 	server.Set(faults[r.IntN(len(faults))])
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	server.Set(standin.ReplicaFaults{})
 }
 
@@ -308,7 +308,7 @@
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
 	out := make(map[string]*standin.Replica)
-	for name, r := range s.f.server {
+	for name, r := range s.f.replicas {
 		if r.DrainAcked().IsZero() && !r.Stopped() {
 			out[name] = r
 		}
@@ -316,28 +316,28 @@
 	return out
 }
 
-// replaceServer starts a server and lets an old one of its service go.
+// replaceServer starts a server of the same service as a random one and drains the old one.
 func (s *fleetSoak) replaceServer(r *rand.Rand) {
-	name, old := s.anyServer(r)
-	s.addLike(r, name, old)
-	s.letGo(old)
+	name, old := s.randomServer(r)
+	s.addReplacement(r, name, old)
+	s.drain(old)
 }
 
-// anyServer draws a backend server that has not left.
-func (s *fleetSoak) anyServer(r *rand.Rand) (name string, server *standin.Replica) {
+// randomServer returns a random backend server that has not left.
+func (s *fleetSoak) randomServer(r *rand.Rand) (name string, server *standin.Replica) {
 	servers := s.servers()
 	names := slices.Sorted(maps.Keys(servers))
 	name = names[r.IntN(len(names))]
 	return name, servers[name]
 }
 
-// addLike starts a server that takes the place of another.
-func (s *fleetSoak) addLike(r *rand.Rand, name string, old *standin.Replica) {
+// addReplacement starts a server like an old one.
+func (s *fleetSoak) addReplacement(r *rand.Rand, name string, old *standin.Replica) {
 	s.f.addVersionOf(old, fmt.Sprintf("i-%s+%d", strings.Split(name, "+")[0], r.IntN(1_000_000)), old.Version, standin.ReplicaFaults{})
 }
 
-// letGo has a server say in its heartbeats that it leaves, until that is acknowledged.
-func (s *fleetSoak) letGo(old *standin.Replica) {
+// drain lets a server announce in its heartbeats that it leaves, until a keeper acknowledges it.
+func (s *fleetSoak) drain(old *standin.Replica) {
 	for range 10 {
 		if old.Drain(s.f.ctx) {
 			return
--- a/internal/scenario/fleetsoak_limits_test.go
+++ b/internal/scenario/fleetsoak_limits_test.go
@@ -9,26 +9,29 @@
 	"sumachead/internal/standin"
 )
 
-// Servers that name request limits while faults deal with routers and what grants permits.
+// Servers report request limits while faults hit routers and the load trackers that grant
+// permits.
 
 const (
-	// limitContact is how long after a server first named a limit it must be kept, and
-	// limitTold how long after a router has passed on such an answer its requests count.
-	limitContact = 3 * time.Second
-	limitTold    = 500 * time.Millisecond
-	// ruleFactor and ruleSlack bound what a server receives in a window from such routers.
-	ruleFactor = 1.5
-	ruleSlack  = 5
+	// limitLearnTime is how long after a server first reported a limit routers must keep to it,
+	// and limitGrace how long after a router has forwarded a response with the limit its requests
+	// count.
+	limitLearnTime = 3 * time.Second
+	limitGrace     = 500 * time.Millisecond
+	// soakLimitFactor and soakLimitSlack bound the requests per window of such routers to a
+	// server.
+	soakLimitFactor = 1.5
+	soakLimitSlack  = 5
 )
 
-// limitFault makes a server, or all servers of its service, name a limit for a time; it may change
-// meanwhile, and the server may start again, after which it names none.
+// limitFault makes a server, or all servers of its service, report a limit for a while. The limit
+// may change meanwhile, and the server may restart, after which it reports none.
 func (s *fleetSoak) limitFault(r *rand.Rand) {
-	_, server := s.anyServer(r)
+	_, server := s.randomServer(r)
 	servers := []*standin.Replica{server}
-	s.note(s.faults, "a server names a limit")
+	s.count(s.faults, "a server reports a limit")
 	if r.IntN(3) == 0 {
-		s.note(s.faults, "all servers of a service name a limit")
+		s.count(s.faults, "all servers of a service report a limit")
 		servers = nil
 		for _, x := range s.servers() {
 			if x.Service == server.Service {
@@ -37,31 +40,31 @@
 		}
 	}
 	rate := []float64{0.2, 0.5, 1, 3}[r.IntN(4)]
-	lasts := limitContact + limitWindow + time.Duration(r.IntN(4000))*time.Millisecond
+	duration := limitLearnTime + limitWindow + time.Duration(r.IntN(4000))*time.Millisecond
 	changes := r.IntN(3) == 0
 	for _, x := range servers {
 		x.NameLimit(rate)
 	}
-	time.Sleep(lasts / 2)
+	time.Sleep(duration / 2)
 	if changes {
-		s.note(s.faults, "a limit changes")
+		s.count(s.faults, "a limit changes")
 		for _, x := range servers {
 			x.NameLimit(rate * 2)
 		}
 	}
-	time.Sleep(lasts / 2)
+	time.Sleep(duration / 2)
 	for _, x := range servers {
 		x.NameLimit(0)
 	}
 }
 
-// limitSpan is a time in which a server names a limit.
+// limitSpan is a period in which a server reports a limit.
 type limitSpan struct {
 	from, to time.Time
 	rate     float64
 }
 
-// limitSpans returns the times in which one incarnation of a server names a limit, up to now.
+// limitSpans returns the periods in which one incarnation of a server reports a limit, up to now.
 func limitSpans(r *standin.Replica, now time.Time) (out []limitSpan) {
 	limits, starts := r.Limits(), r.Starts()
 	for i, l := range limits {
@@ -80,19 +83,19 @@
 	return out
 }
 
-// countedAgainstLimit returns when requests reached a server from routers that had passed on an
-// answer naming the limit of a span.
-func (f *fleet) countedAgainstLimit(r *standin.Replica, p limitSpan, excused func(router string, from, to time.Time) bool) (out []time.Time) {
-	callers := f.byID()
-	told := make(map[string]time.Time)
+// requestsAgainstLimit returns the arrival times of requests from routers that had forwarded a
+// response with the limit of a span.
+func (f *fleet) requestsAgainstLimit(r *standin.Replica, p limitSpan, excused func(router string, from, to time.Time) bool) (out []time.Time) {
+	callers := f.callersByID()
+	learned := make(map[string]time.Time)
 	runs := r.Runs()
 	for _, x := range runs {
 		c := callers[x.ID]
-		if c == nil || x.At.Before(p.from) || c.answered.IsZero() || c.status != 200 {
+		if c == nil || x.At.Before(p.from) || c.respondedAt.IsZero() || c.status != 200 {
 			continue
 		}
-		if at, ok := told[c.router]; !ok || c.answered.Before(at) {
-			told[c.router] = c.answered
+		if at, ok := learned[c.router]; !ok || c.respondedAt.Before(at) {
+			learned[c.router] = c.respondedAt
 		}
 	}
 	for _, x := range runs {
@@ -100,8 +103,8 @@
 		if c == nil {
 			continue
 		}
-		at, ok := told[c.router]
-		if ok && !x.At.Before(p.from) && !x.At.After(p.to) && x.At.Sub(at) >= limitTold && !excused(c.router, at, x.At) {
+		at, ok := learned[c.router]
+		if ok && !x.At.Before(p.from) && !x.At.After(p.to) && x.At.Sub(at) >= limitGrace && !excused(c.router, at, x.At) {
 			out = append(out, x.At)
 		}
 	}
@@ -109,28 +112,28 @@
 	return out
 }
 
-// checkLimits checks that routers together kept to the limits that servers had named.
+// checkLimits checks that routers together kept to the limits that servers had reported.
 func (s *fleetSoak) checkLimits() {
 	counted, spans := 0, 0
 	for _, r := range s.f.servers() {
 		for _, p := range limitSpans(r, time.Now()) {
 			spans++
-			times := s.f.countedAgainstLimit(r, p, s.disturbedBetween)
+			times := s.f.requestsAgainstLimit(r, p, s.hadFaultBetween)
 			counted += len(times)
-			allowed := ruleFactor*p.rate*limitWindow.Seconds() + ruleSlack
+			allowed := soakLimitFactor*p.rate*limitWindow.Seconds() + soakLimitSlack
 			for _, at := range times {
-				if at.Before(p.from.Add(limitContact)) {
+				if at.Before(p.from.Add(limitLearnTime)) {
 					continue
 				}
 				if n := countBetween(times, at, at.Add(limitWindow)); float64(n) > allowed {
-					s.breaks("%s named a limit of %v a second and got %d requests in the %v from %v after it, %.1f are allowed",
+					s.recordViolation("%s reported a limit of %v/s and got %d requests within %v, starting %v after it; %.1f are allowed",
 						r.ID, p.rate, n, limitWindow, at.Sub(p.from).Round(time.Millisecond), allowed)
 					break
 				}
 			}
 		}
 	}
-	s.t.Logf("%d times servers named a limit; %d requests counted against them", spans, counted)
+	s.t.Logf("servers reported a limit %d times; %d requests counted against them", spans, counted)
 }
 
 func TestLimitSpans(t *testing.T) {
@@ -148,6 +151,6 @@
 	r.StartUnderID()
 	got := limitSpans(r, now)
 	if last := got[len(got)-1]; last.rate != 3 || !last.to.Before(now) {
-		t.Errorf("a limit outlasts the start of its server: %v", last)
+		t.Errorf("a limit outlasts the restart of its server: %v", last)
 	}
 }
--- a/internal/scenario/fleetsoak_machine_test.go
+++ b/internal/scenario/fleetsoak_machine_test.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// probeInterval is the time between probes of the machine, and slowProbe what of them is kept
-	// with what the soak notes: a good part of an election time-out.
+	// probeInterval is the time between probes of the machine. A probe of slowProbe, a good part
+	// of an election timeout, or more is recorded with the events of the soak test.
 	probeInterval = 20 * time.Millisecond
 	slowProbe     = 150 * time.Millisecond
 )
 
-// probeMachine writes and syncs a page at intervals until a moment, as keepers do, and notes
-// when that or waking up takes long: a leader may be lost by it without a fault of the soak.
+// probeMachine periodically writes and syncs a page, as keepers do, until the given time. It
+// records slow syncs and wake-ups, since these can lose a leader without an injected fault.
 func (s *fleetSoak) probeMachine(until time.Time) {
 	path := s.f.path("probe")
 	file, err := os.Create(path)
@@ -25,9 +25,9 @@
 	defer func() { _ = file.Close() }()
 	page := make([]byte, 4<<10)
 	var longestSync, longestWake time.Duration
-	slow := 0
+	slowProbes := 0
 	for time.Now().Before(until) {
-		begun := time.Now()
+		start := time.Now()
 		time.Sleep(probeInterval)
 		woke := time.Now()
 		if _, err := file.WriteAt(page, 0); err != nil {
@@ -38,15 +38,15 @@
 			s.t.Log(err)
 			return
 		}
-		sync, wake := time.Since(woke), woke.Sub(begun)-probeInterval
+		sync, wake := time.Since(woke), woke.Sub(start)-probeInterval
 		longestSync, longestWake = max(longestSync, sync), max(longestWake, wake)
 		if max(sync, wake) >= slowProbe {
-			slow++
+			slowProbes++
 			s.mu.Lock()
-			s.keep(fmt.Sprintf("machine: a sync took %v, waking up %v longer", sync.Round(time.Millisecond), wake.Round(time.Millisecond)))
+			s.logEvent(fmt.Sprintf("machine: sync took %v, wake-up was %v late", sync.Round(time.Millisecond), wake.Round(time.Millisecond)))
 			s.mu.Unlock()
 		}
 	}
-	s.t.Logf("machine: longest sync %v, longest delay of waking up %v, %d probes over %v",
-		longestSync.Round(time.Millisecond), longestWake.Round(time.Millisecond), slow, slowProbe)
+	s.t.Logf("machine: longest sync %v, longest wake-up delay %v, %d probes over %v",
+		longestSync.Round(time.Millisecond), longestWake.Round(time.Millisecond), slowProbes, slowProbe)
 }
--- a/internal/scenario/fleetsoak_notices_test.go
+++ b/internal/scenario/fleetsoak_notices_test.go
@@ -9,83 +9,84 @@
 	"sumachead/internal/standin"
 )
 
-// Servers that say of themselves in answers what their heartbeats do not say.
+// Servers report in responses what their heartbeats do not say.
 
 const (
-	// restsMost is how many requests may reach a server from one router within a rest, beyond
-	// those that come within restSettles.
-	restsMost = 2
-	// longestSoakRest bounds the rests: half of what the system has at the end, without faults.
-	longestSoakRest = settle / 2
+	// maxInBackoff is how many requests of one router may reach a server within its backoff,
+	// beyond those within backoffGrace.
+	maxInBackoff = 2
+	// maxSoakBackoff bounds backoffs to half of the time that the system has to recover at the
+	// end.
+	maxSoakBackoff = recoveryTimeout / 2
 )
 
-// noticeFault makes a server, or all of its service, ask for rest for a time, or one say in its
-// answers that it leaves.
+// noticeFault makes a server, or all of its service, request backoff for a while, or makes a
+// server announce in its responses that it leaves.
 func (s *fleetSoak) noticeFault(r *rand.Rand) {
-	name, server := s.anyServer(r)
-	lasts := time.Duration(1000+r.IntN(3000)) * time.Millisecond
-	rest := longestSoakRest / time.Duration(1+r.IntN(12))
+	name, server := s.randomServer(r)
+	duration := time.Duration(1000+r.IntN(3000)) * time.Millisecond
+	backoff := maxSoakBackoff / time.Duration(1+r.IntN(12))
 	if r.IntN(4) == 0 {
-		rest = 100 * time.Millisecond // over before much comes
+		backoff = 100 * time.Millisecond // ends before much arrives
 	}
 	kinds := []struct {
 		name string
 		do   func()
 	}{
-		{"a server asks for rest", func() { s.turnAway(rest, lasts, server) }},
-		{"all servers of a service ask for rest", func() {
+		{"a server requests backoff", func() { s.rejectRequests(backoff, duration, server) }},
+		{"all servers of a service request backoff", func() {
 			var all []*standin.Replica
 			for _, x := range s.servers() {
 				if x.Service == server.Service {
 					all = append(all, x)
 				}
 			}
-			s.turnAway(min(rest, time.Second), lasts/2, all...)
+			s.rejectRequests(min(backoff, time.Second), duration/2, all...)
 		}},
-		{"a server says in answers that it leaves", func() {
-			s.addLike(r, name, server)
+		{"a server announces in responses that it leaves", func() {
+			s.addReplacement(r, name, server)
 			server.SayLeaving()
-			time.Sleep(drainWithin + lasts)
-			s.letGo(server)
+			time.Sleep(maxDrainDelay + duration)
+			s.drain(server)
 		}},
 	}
 	k := kinds[r.IntN(len(kinds))]
-	s.note(s.faults, k.name)
+	s.count(s.faults, k.name)
 	k.do()
 }
 
-// turnAway makes servers turn away all that comes to them for a time.
-func (s *fleetSoak) turnAway(rest, lasts time.Duration, servers ...*standin.Replica) {
+// rejectRequests makes servers reject all requests for a while.
+func (s *fleetSoak) rejectRequests(backoff, duration time.Duration, servers ...*standin.Replica) {
 	for _, x := range servers {
-		x.TurnAway(rest)
+		x.TurnAway(backoff)
 	}
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	for _, x := range servers {
 		x.TurnAway(0)
 	}
 }
 
-// disturbedBetween reports whether a fault dealt with a process between two times: what it
-// knew may be lost.
-func (s *fleetSoak) disturbedBetween(process string, from, to time.Time) bool {
+// hadFaultBetween reports whether a fault hit a process between two times, which may have lost
+// what the process knew.
+func (s *fleetSoak) hadFaultBetween(process string, from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.disturbed[process], func(at time.Time) bool { return !at.Before(from) && !at.After(to) })
+	return slices.ContainsFunc(s.faultTimes[process], func(at time.Time) bool { return !at.Before(from) && !at.After(to) })
 }
 
-// checkNotices checks that routers kept to what servers had said in answers.
+// checkNotices checks that routers kept to what servers had said in responses.
 func (s *fleetSoak) checkNotices() {
-	asked := 0
+	rejected := 0
 	for _, r := range s.f.servers() {
-		asked += len(r.TurnedAway())
-		for _, sent := range s.f.sentWithinRests(r, s.disturbedBetween) {
-			if len(sent) > restsMost {
-				s.breaks("%d requests within a rest: %s", len(sent), strings.Join(sent, "; "))
+		rejected += len(r.TurnedAway())
+		for _, sent := range s.f.sentByBackoff(r, s.hadFaultBetween) {
+			if len(sent) > maxInBackoff {
+				s.recordViolation("%d requests within a backoff: %s", len(sent), strings.Join(sent, "; "))
 			}
 		}
-		for _, x := range s.f.sentAfterLeaving(r, drainWithin, s.disturbedBetween) {
-			s.breaks("%s", x)
+		for _, x := range s.f.sentAfterLeaving(r, maxDrainDelay, s.hadFaultBetween) {
+			s.recordViolation("%s", x)
 		}
 	}
-	s.t.Logf("%d requests were turned away with a rest", asked)
+	s.t.Logf("%d requests were rejected with a backoff", rejected)
 }
--- a/internal/scenario/fleetsoak_rollouts_test.go
+++ b/internal/scenario/fleetsoak_rollouts_test.go
@@ -10,17 +10,18 @@
 	"sumachead/internal/standin"
 )
 
-// Roll-outs in the soak: an operator moves a service to servers of another version, good or bad,
-// while everything else happens.
+// Rollouts in the soak test: an operator moves a service to servers of another version, good or
+// bad, among all other faults.
 
 const (
-	// soakRollout is the time of an order, and afterRollout how much longer its state is asked for.
-	soakRollout  = 5 * time.Second
-	afterRollout = settle
+	// soakRolloutDuration is the duration of an order, and rolloutStateTimeout how much longer
+	// its state is polled.
+	soakRolloutDuration = 5 * time.Second
+	rolloutStateTimeout = recoveryTimeout
 )
 
-// rolledOut is one roll-out of the soak.
-type rolledOut struct {
+// finishedRollout is one rollout of the soak test.
+type finishedRollout struct {
 	service, version string
 	bad              bool
 	added            []*standin.Replica
@@ -28,56 +29,58 @@
 	state            string
 }
 
-// rollOuts orders roll-outs one after the other until a moment.
-func (s *fleetSoak) rollOuts(r *rand.Rand, until time.Time) {
+// runRollouts orders one rollout after the other until the given time.
+func (s *fleetSoak) runRollouts(r *rand.Rand, until time.Time) {
 	for i := 2; time.Now().Before(until); i++ {
-		x := &rolledOut{service: []string{"desk", "pool"}[r.IntN(2)], version: fmt.Sprintf("v%d", i), bad: r.IntN(2) == 0}
-		s.note(s.faults, "a roll-out")
-		s.rollOut(r, x)
+		x := &finishedRollout{service: []string{"desk", "pool"}[r.IntN(2)], version: fmt.Sprintf("v%d", i), bad: r.IntN(2) == 0}
+		s.count(s.faults, "rollout")
+		s.runRollout(r, x)
 		time.Sleep(time.Duration(500+r.IntN(1500)) * time.Millisecond)
 	}
 }
 
-// rollOut orders one roll-out, asks for its end, and ends the servers that are left.
-func (s *fleetSoak) rollOut(r *rand.Rand, x *rolledOut) {
+// runRollout orders one rollout, waits for its end and stops the servers of the version that
+// lost.
+func (s *fleetSoak) runRollout(r *rand.Rand, x *finishedRollout) {
 	x.ordered = time.Now()
-	if err := s.f.rollOut(x.service, x.version, soakRollout, settle); err != nil {
-		s.breaks("%v", err)
+	if err := s.f.orderRollout(x.service, x.version, soakRolloutDuration, recoveryTimeout); err != nil {
+		s.recordViolation("%v", err)
 		return
 	}
 	faults := standin.ReplicaFaults{}
 	if x.bad {
 		faults = []standin.ReplicaFaults{{BadOneIn: 2}, {BadOneIn: 1, Slower: 6}, {BadOneIn: 3}}[r.IntN(3)]
 	}
-	old := s.ofService(x.service)
+	old := s.serversOf(x.service)
 	for _, o := range old {
 		name := strings.Split(strings.TrimPrefix(o.ID, "i-"), "+")[0]
 		x.added = append(x.added, s.f.addVersionOf(o, fmt.Sprintf("i-%s+%s-%d", name, x.version, len(x.added)), x.version, faults))
 	}
 	s.await(x)
 	s.mu.Lock()
-	s.rolledOut = append(s.rolledOut, x)
+	s.rollouts = append(s.rollouts, x)
 	s.mu.Unlock()
 	switch x.state {
 	case rolloutComplete:
-		for _, o := range s.ofService(x.service) {
+		for _, o := range s.serversOf(x.service) {
 			if o.Version != x.version {
 				o.Stop()
 			}
 		}
 	case rolloutRolledBack:
 		for _, n := range x.added {
-			s.letGo(n)
+			s.drain(n)
 		}
 	default:
-		s.breaks("the roll-out of %s to %s has no end: %q", x.service, x.version, x.state)
+		s.recordViolation("the rollout of %s to %s did not end: %q", x.service, x.version, x.state)
 	}
 }
 
-// await asks for the state until it is final, at random keepers: none may take it back.
-func (s *fleetSoak) await(x *rolledOut) {
-	controls := s.f.controls()
-	until := time.Now().Add(soakRollout + afterRollout)
+// await polls the keepers in turn until the state is final. Afterwards no keeper may report
+// another state.
+func (s *fleetSoak) await(x *finishedRollout) {
+	controls := s.f.controlAddresses()
+	until := time.Now().Add(soakRolloutDuration + rolloutStateTimeout)
 	for i := 0; time.Now().Before(until); i++ {
 		state, version := s.f.rolloutAt(controls[i%len(controls)], x.service)
 		if version == x.version {
@@ -90,13 +93,13 @@
 	}
 	for _, c := range controls {
 		if state, version := s.f.rolloutAt(c, x.service); state != "" && (state != x.state || version != x.version) {
-			s.breaks("%s says that the roll-out of %s is %q at %s, after it was %q at %s", c, x.service, state, version, x.state, x.version)
+			s.recordViolation("%s reports the rollout of %s as %q at %s after it was %q at %s", c, x.service, state, version, x.state, x.version)
 		}
 	}
 }
 
-// ofService lists the servers of a service that have not left, by their addresses.
-func (s *fleetSoak) ofService(service string) (out []*standin.Replica) {
+// serversOf lists the servers of a service that have not left, sorted by id.
+func (s *fleetSoak) serversOf(service string) (out []*standin.Replica) {
 	for _, x := range s.servers() {
 		if x.Service == service {
 			out = append(out, x)
@@ -106,32 +109,32 @@
 	return out
 }
 
-// checkRollouts checks what bad versions got, and that nothing reached a version after it was
-// rolled back.
+// checkRollouts checks the exposure to bad versions and that nothing reached a version after it
+// was rolled back.
 func (s *fleetSoak) checkRollouts() {
-	callers := s.f.byID()
-	ends := make(map[string]int)
-	for _, x := range s.rolledOut {
-		ends[fmt.Sprintf("%s, bad: %t", x.state, x.bad)]++
+	callers := s.f.callersByID()
+	outcomes := make(map[string]int)
+	for _, x := range s.rollouts {
+		outcomes[fmt.Sprintf("%s, bad: %t", x.state, x.bad)]++
 		all, exposed := 0, 0
 		for _, server := range s.f.servers() {
 			isNew := slices.Contains(x.added, server)
 			for _, run := range server.Runs() {
-				within := server.Service == x.service && run.At.After(x.ordered) && run.At.Before(x.ended)
+				inProgress := server.Service == x.service && run.At.After(x.ordered) && run.At.Before(x.ended)
 				switch {
-				case within && isNew:
+				case inProgress && isNew:
 					all, exposed = all+1, exposed+1
-				case within:
+				case inProgress:
 					all++
-				case isNew && x.state == rolloutRolledBack && run.At.After(x.ended.Add(drainWithin)) &&
-					!s.disturbedBetween(callers[run.ID].router, x.ended, run.At):
-					s.breaks("%s ran %s %v after its version was rolled back", server.ID, run.ID, run.At.Sub(x.ended))
+				case isNew && x.state == rolloutRolledBack && run.At.After(x.ended.Add(maxDrainDelay)) &&
+					!s.hadFaultBetween(callers[run.ID].router, x.ended, run.At):
+					s.recordViolation("%s ran %s %v after its version was rolled back", server.ID, run.ID, run.At.Sub(x.ended))
 				}
 			}
 		}
-		if most := exposureShare*float64(all) + exposureSlack; x.state == rolloutRolledBack && float64(exposed) > most {
-			s.breaks("%d of %d requests for %s went to %s, which was rolled back; %v may", exposed, all, x.service, x.version, most)
+		if allowed := exposureShare*float64(all) + exposureSlack; x.state == rolloutRolledBack && float64(exposed) > allowed {
+			s.recordViolation("%d of %d requests for %s went to %s, which was rolled back; at most %v may", exposed, all, x.service, x.version, allowed)
 		}
 	}
-	s.t.Logf("roll-outs %v", ends)
+	s.t.Logf("rollouts %v", outcomes)
 }
--- a/internal/scenario/fleetsoak_test.go
+++ b/internal/scenario/fleetsoak_test.go
@@ -15,44 +15,44 @@
 	"sumachead/internal/standin"
 )
 
-// fleetSoak is a random mix of faults against a fleet of real processes, under
-// load, with the promises checked while it runs.
+// fleetSoak injects random faults into a fleet of real processes under load and checks its
+// invariants meanwhile.
 type fleetSoak struct {
 	t    *testing.T
 	f    *fleet
 	rand *rand.Rand
 
-	mu       sync.Mutex // guards the fields below
-	acked    int        // highest number that was acknowledged
-	sent     int        // highest number that was sent
-	prepaid  int        // highest budget that was sent
-	faults   map[string]int
-	outcomes map[string]int
-	noted    []string // what was counted, and when
-	broken   []string
-	busy     map[string]bool // processes that a fault deals with
-	wiped    time.Time       // when the last disk that was lost came back
-	// rolledOut are the roll-outs that have ended.
-	rolledOut []*rolledOut
-	// disturbed is when faults began and ended to deal with processes.
-	disturbed map[string][]time.Time
+	mu         sync.Mutex // guards the fields below
+	acked      int        // highest acknowledged number
+	sent       int        // highest sent number
+	prepaid    int        // highest sent budget
+	faults     map[string]int
+	outcomes   map[string]int
+	events     []string // counted events with timestamps
+	violations []string
+	busy       map[string]bool // processes reserved by a fault
+	lastWipe   time.Time       // when the last wiped keeper restarted
+	// rollouts are the rollouts that have ended.
+	rollouts []*finishedRollout
+	// faultTimes are the times at which faults of a process began or ended.
+	faultTimes map[string][]time.Time
 }
 
 const (
-	// soakSeed and soakShort are the run that CI does.
-	soakSeed  = 7
-	soakShort = 12 * time.Second
-	// settle is how long the system has at the end, without faults.
-	settle = 20 * time.Second
+	// soakSeed and soakDuration are those of the run in CI.
+	soakSeed     = 7
+	soakDuration = 12 * time.Second
+	// recoveryTimeout bounds the recovery after all faults have ended.
+	recoveryTimeout = 20 * time.Second
 )
 
-// TestFleetSoak runs for a short time with a fixed seed; SOAK=5m and SEED=N run it
-// for longer, SEED=0 with a seed of its own, SOAK_LOGS=DIR keeps the logs of one that fails. TIMES=10 has ten times as many routers
-// and relays, for runs near the limits of the machine.
+// TestFleetSoak runs for a short time with a fixed seed. SOAK=5m SEED=N sets both; SEED=0 draws a
+// seed. SOAK_LOGS=DIR keeps the logs of a failed run. TIMES=10 multiplies the number of routers
+// and relays by ten, to run near the limits of the machine.
 func TestFleetSoak(t *testing.T) {
-	lasts, seed := soakShort, uint64(soakSeed)
+	duration, seed := soakDuration, uint64(soakSeed)
 	if d, err := time.ParseDuration(os.Getenv("SOAK")); err == nil {
-		lasts = d
+		duration = d
 		if seed, err = strconv.ParseUint(os.Getenv("SEED"), 10, 64); err != nil || seed == 0 {
 			seed = uint64(time.Now().UnixNano())
 		}
@@ -65,29 +65,29 @@
 	s := &fleetSoak{
 		t: t, f: startFleet(t, sh), rand: rand.New(rand.NewPCG(seed, 2)),
 		acked: 1, sent: 1, prepaid: sh.prepaid, faults: make(map[string]int), outcomes: make(map[string]int),
-		busy: make(map[string]bool), disturbed: make(map[string][]time.Time),
+		busy: make(map[string]bool), faultTimes: make(map[string][]time.Time),
 	}
-	s.run(time.Now().Add(lasts))
+	s.run(time.Now().Add(duration))
 	s.recover()
 	s.report()
 }
 
-// run causes faults and load until a moment.
+// run injects faults under load until the given time.
 func (s *fleetSoak) run(until time.Time) {
 	var all sync.WaitGroup
 	all.Go(func() { s.probeMachine(until) })
 	const callers, readers = 12, 2
 	for i := range callers {
 		r := rand.New(rand.NewPCG(s.rand.Uint64(), uint64(i)))
-		all.Go(func() { s.call(r, until) })
+		all.Go(func() { s.sendRequests(r, until) })
 	}
 	for i := range readers {
 		r := rand.New(rand.NewPCG(s.rand.Uint64(), uint64(i)))
-		all.Go(func() { s.read(r, until) })
+		all.Go(func() { s.readDeclarations(r, until) })
 	}
-	s.operate(&all, until)
-	s.insistOnAll(&all, until)
-	const series = 2 // faults overlap
+	s.runOperators(&all, until)
+	s.sendCrashing(&all, until)
+	const series = 2 // so that faults overlap
 	for i := range series {
 		r := rand.New(rand.NewPCG(s.rand.Uint64(), uint64(i)))
 		all.Go(func() {
@@ -97,7 +97,7 @@
 			}
 		})
 	}
-	peers := rand.New(rand.NewPCG(s.rand.Uint64(), series)) // drawn last: the other series stay what they were
+	peers := rand.New(rand.NewPCG(s.rand.Uint64(), series)) // drawn last, so that the other series stay reproducible
 	all.Go(func() {
 		for time.Now().Before(until) {
 			s.peerFault(peers)
@@ -119,7 +119,7 @@
 		}
 	})
 	rollouts := rand.New(rand.NewPCG(s.rand.Uint64(), series+3)) // as above
-	all.Go(func() { s.rollOuts(rollouts, until) })
+	all.Go(func() { s.runRollouts(rollouts, until) })
 	limits := rand.New(rand.NewPCG(s.rand.Uint64(), series+4)) // as above
 	all.Go(func() {
 		for time.Now().Before(until) {
@@ -130,29 +130,29 @@
 	all.Wait()
 }
 
-// note counts something.
-func (s *fleetSoak) note(counts map[string]int, what string) {
+// count increments a counter and logs it as an event.
+func (s *fleetSoak) count(counts map[string]int, what string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts[what]++
-	s.keep(what)
+	s.logEvent(what)
 }
 
-// keep adds a line to what is kept with the logs. The caller holds mu.
-func (s *fleetSoak) keep(what string) {
-	s.noted = append(s.noted, time.Now().UTC().Format("15:04:05.000 ")+what)
+// logEvent adds a timestamped line to the events kept with the logs. The caller holds mu.
+func (s *fleetSoak) logEvent(what string) {
+	s.events = append(s.events, time.Now().UTC().Format("15:04:05.000 ")+what)
 }
 
-// breaks notes a promise that is broken, for the report.
-func (s *fleetSoak) breaks(format string, args ...any) {
+// recordViolation records a violated invariant for the report.
+func (s *fleetSoak) recordViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// call sends requests of all kinds to all routers. Half of the callers keep their
-// connections, also while a router stops.
-func (s *fleetSoak) call(r *rand.Rand, until time.Time) {
+// sendRequests sends requests of all kinds to all routers. Half of the callers reuse connections,
+// even while a router stops.
+func (s *fleetSoak) sendRequests(r *rand.Rand, until time.Time) {
 	var client *http.Client
 	if r.IntN(2) == 0 {
 		client = &http.Client{Transport: &http.Transport{}}
@@ -162,36 +162,36 @@
 		q := fleetRequest{router: fmt.Sprintf("router-%d", r.IntN(s.f.shape.routers)+1), prompt: 20 + r.IntN(100), events: 1 + r.IntN(30), client: client}
 		q.kind = []string{"stream", "stream", "hold", "check"}[r.IntN(4)]
 		if r.IntN(10) == 0 {
-			q.leave = time.Duration(r.IntN(80)) * time.Millisecond
+			q.cancelAfter = time.Duration(r.IntN(80)) * time.Millisecond
 		}
-		c := s.f.ask(q)
-		s.note(s.outcomes, q.kind+" "+c.String())
+		c := s.f.do(q)
+		s.count(s.outcomes, q.kind+" "+c.String())
 		pause := time.Duration(r.IntN(40)) * time.Millisecond
-		if !c.whole {
+		if !c.complete {
 			pause += 100 * time.Millisecond
 		}
 		time.Sleep(pause)
 	}
 }
 
-// read reads the declaration at random keepers: what is read is never older than
-// what was acknowledged before.
-func (s *fleetSoak) read(r *rand.Rand, until time.Time) {
-	controls := s.f.controls()
+// readDeclarations reads the declaration from random keepers. It must never be older than one
+// acknowledged before the read.
+func (s *fleetSoak) readDeclarations(r *rand.Rand, until time.Time) {
+	controls := s.f.controlAddresses()
 	for time.Now().Before(until) {
 		s.mu.Lock()
 		acked := s.acked
 		s.mu.Unlock()
 		at := controls[r.IntN(len(controls))]
-		if n := s.f.document(at); n != 0 && n < acked {
-			s.breaks("%s answered with declaration %d after %d was acknowledged", at, n, acked)
+		if n := s.f.declarationAt(at); n != 0 && n < acked {
+			s.recordViolation("%s returned declaration %d after %d was acknowledged", at, n, acked)
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
 }
 
-// operate starts two operators who race.
-func (s *fleetSoak) operate(all *sync.WaitGroup, until time.Time) {
+// runOperators runs two concurrent operators.
+func (s *fleetSoak) runOperators(all *sync.WaitGroup, until time.Time) {
 	for i := range 2 {
 		r := rand.New(rand.NewPCG(s.rand.Uint64(), uint64(i)))
 		all.Go(func() {
@@ -203,10 +203,10 @@
 	}
 }
 
-// declare sends one declaration, again and again until it is taken; at times an
-// older number or an invalid one.
+// declare sends one declaration until it is accepted, sometimes an older number or an invalid
+// one.
 func (s *fleetSoak) declare(r *rand.Rand) {
-	controls := s.f.controls()
+	controls := s.f.controlAddresses()
 	s.mu.Lock()
 	d := fleetDocument{number: s.sent + 1 + r.IntN(3), routes: r.IntN(20), prepaid: s.prepaid}
 	if r.IntN(4) == 0 {
@@ -221,7 +221,7 @@
 	for range 20 {
 		switch status := s.f.put(controls[r.IntN(len(controls))], d.encode()); {
 		case bad && status == 200:
-			s.breaks("an invalid declaration %d was acknowledged", d.number)
+			s.recordViolation("an invalid declaration %d was acknowledged", d.number)
 			return
 		case bad && status == 400:
 			return
@@ -231,15 +231,15 @@
 			s.mu.Unlock()
 			return
 		case !bad && status == 400:
-			s.breaks("declaration %d was refused", d.number)
+			s.recordViolation("declaration %d was rejected", d.number)
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// recover ends all faults; everything must be served again, and the newest
-// declaration be there.
+// recover ends all faults and waits until all routers serve requests again with the newest
+// declaration.
 func (s *fleetSoak) recover() {
 	s.f.net.healAll()
 	for _, r := range s.servers() {
@@ -255,14 +255,14 @@
 		}
 	}
 	top := fleetDocument{number: s.sent + 10, prepaid: s.prepaid + 100_000}
-	if err := s.f.declare(top, settle); err != nil {
-		s.breaks("after all faults: %v", err)
+	if err := s.f.declare(top, recoveryTimeout); err != nil {
+		s.recordViolation("after all faults: %v", err)
 	}
 	s.prepaid = top.prepaid
-	err := eventually(settle, "all routers serve all kinds after all faults", func() bool {
+	err := eventually(recoveryTimeout, "all routers serve all kinds of requests after all faults", func() bool {
 		for i := range s.f.shape.routers {
 			for _, kind := range []string{"stream", "hold", "check"} {
-				if !s.f.ask(fleetRequest{kind: kind, router: fmt.Sprintf("router-%d", i+1), prompt: 20, events: 3}).whole {
+				if !s.f.do(fleetRequest{kind: kind, router: fmt.Sprintf("router-%d", i+1), prompt: 20, events: 3}).complete {
 					return false
 				}
 			}
@@ -270,28 +270,28 @@
 		return true
 	})
 	if err != nil {
-		s.breaks("%v", err)
+		s.recordViolation("%v", err)
 	}
-	s.checkEnds()
+	s.checkCrashes()
 	s.checkNotices()
 	s.checkLimits()
 	s.checkRollouts()
 }
 
-// report prints what was done and fails the test if a promise was broken.
+// report prints statistics and fails the test if an invariant was violated.
 func (s *fleetSoak) report() {
-	s.t.Logf("processes %d, requests %d, declarations to %d", len(s.f.order), s.f.requests, s.acked)
+	s.t.Logf("processes %d, requests %d, declarations up to %d", len(s.f.order), s.f.requestCount, s.acked)
 	s.t.Logf("faults %v", s.faults)
 	s.t.Logf("outcomes %v", s.outcomes)
-	for _, body := range badBodies {
-		s.t.Logf("%d servers ended under %q", s.f.endedUnder(body), body)
+	for _, body := range crashBodies {
+		s.t.Logf("%d servers crashed on %q", s.f.crashCountOn(body), body)
 	}
-	s.broken = append(s.broken, s.f.promises(s.prepaid)...)
+	s.violations = append(s.violations, s.f.violations(s.prepaid)...)
 	if names := s.f.crashes(); len(names) > 0 {
-		s.broken = append(s.broken, fmt.Sprintf("crashed or raced: %v", names))
+		s.violations = append(s.violations, fmt.Sprintf("crashed or raced: %v", names))
 		s.showCrashes(names)
 	}
-	for _, b := range s.broken {
+	for _, b := range s.violations {
 		s.t.Error(b)
 	}
 	if to := os.Getenv("SOAK_LOGS"); to != "" && s.t.Failed() {
@@ -299,10 +299,10 @@
 	}
 }
 
-// keepLogs copies the logs of all processes, and what was noted, to a folder: those of a run that failed once may be all
-// that there is to trace it by.
+// keepLogs copies the logs of all processes and the event log to a directory, since a rare
+// failure may not be reproducible.
 func (s *fleetSoak) keepLogs(to string) {
-	if err := os.WriteFile(filepath.Join(to, "noted"), []byte(strings.Join(s.noted, "\n")+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(to, "noted"), []byte(strings.Join(s.events, "\n")+"\n"), 0o600); err != nil {
 		s.t.Log(err)
 	}
 	for _, name := range s.f.order {
@@ -316,9 +316,9 @@
 	}
 }
 
-// showCrashes prints what crashed processes said.
+// showCrashes prints the panics and data races of crashed processes.
 func (s *fleetSoak) showCrashes(names []string) {
-	const most = 6000
+	const maxBytes = 6000
 	for _, n := range names {
 		data, err := os.ReadFile(s.f.path(n + ".log"))
 		if err != nil {
@@ -327,7 +327,7 @@
 		}
 		for _, mark := range []string{"WARNING: DATA RACE", "\npanic: "} {
 			if i := strings.Index(string(data), mark); i >= 0 {
-				s.t.Logf("%s:\n%s", n, data[i:min(i+most, len(data))])
+				s.t.Logf("%s:\n%s", n, data[i:min(i+maxBytes, len(data))])
 			}
 		}
 	}
--- a/internal/scenario/halls_test.go
+++ b/internal/scenario/halls_test.go
@@ -8,62 +8,62 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// vacateWithin is how long after the acknowledgement a vacated data hall may still get
-// something new; times in which cuts leave the keepers no majority do not count, since nobody
-// can tell the routers of what was acknowledged just before.
-const vacateWithin = 2 * time.Second
+// maxVacateDelay is how long after the acknowledgement a vacated data hall may still get new
+// requests. Times without a quorum of keepers don't count, since nobody can tell the routers of
+// an order acknowledged just before.
+const maxVacateDelay = 2 * time.Second
 
-// What a cold engine bears, and what it may be sent in any second: as the users' platform
-// has it.
+// Limits of a cold engine, and how far routers may exceed them in any second, as the platform
+// configures them.
 const (
-	coldTime    = 3 * time.Second
-	coldRate    = 6.6
-	coldOverage = 1.5
-	coldSlack   = 5
+	coldDuration = 3 * time.Second
+	coldRate     = 6.6
+	coldOverage  = 1.5
+	coldSlack    = 5
 )
 
-// vacatedSpan is a time within which a data hall was vacated.
+// vacatedSpan is a period in which a data hall was vacated.
 type vacatedSpan struct {
 	hall string
-	// acked is when the order was acknowledged, and opening when the first order to open
-	// the hall again was sent; zero while there is none.
-	acked   time.Time
-	opening time.Time
+	// ackedAt is when the order was acknowledged, and reopenedAt when the first order to reopen
+	// the hall was sent, or zero if none was.
+	ackedAt    time.Time
+	reopenedAt time.Time
 }
 
-// vacate sends an order for a data hall to one keeper after the other until one takes it,
-// and notes it for the check of promises.
-func (f *fleet) vacate(hall string, vacated bool, within time.Duration) error {
+// vacate sends an order for a data hall to the keepers in turn until one accepts it, and records
+// it for the check of invariants.
+func (f *fleet) vacate(hall string, vacated bool, timeout time.Duration) error {
 	if !vacated {
-		f.noteOpening(hall)
+		f.recordReopening(hall)
 	}
 	n := 0
-	err := eventually(within, fmt.Sprintf("the order for %s, vacated %t, is taken", hall, vacated), func() bool {
+	err := eventually(timeout, fmt.Sprintf("the order for %s (vacated: %t) is accepted", hall, vacated), func() bool {
 		n++
-		c := f.controls()
-		return f.orderAt(c[n%len(c)], hall, vacated) == http.StatusOK
+		c := f.controlAddresses()
+		return f.orderVacateAt(c[n%len(c)], hall, vacated) == http.StatusOK
 	})
 	if err == nil && vacated {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.vacated = append(f.vacated, vacatedSpan{hall: hall, acked: time.Now()})
+		f.vacatedSpans = append(f.vacatedSpans, vacatedSpan{hall: hall, ackedAt: time.Now()})
 	}
 	return err
 }
 
-// noteOpening notes that a data hall is about to be opened again.
-func (f *fleet) noteOpening(hall string) {
+// recordReopening records that a data hall is about to be reopened.
+func (f *fleet) recordReopening(hall string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i, v := range f.vacated {
-		if v.hall == hall && v.opening.IsZero() {
-			f.vacated[i].opening = time.Now()
+	for i, v := range f.vacatedSpans {
+		if v.hall == hall && v.reopenedAt.IsZero() {
+			f.vacatedSpans[i].reopenedAt = time.Now()
 		}
 	}
 }
 
-// orderAt sends an order to one keeper and returns the status; 0 for none.
-func (f *fleet) orderAt(address, hall string, vacated bool) int {
+// orderVacateAt sends an order to one keeper and returns the status, or 0 without a response.
+func (f *fleet) orderVacateAt(address, hall string, vacated bool) int {
 	verb := "End"
 	if vacated {
 		verb = "Start"
@@ -71,30 +71,30 @@
 	return f.post(fmt.Sprintf("http://%s/v1/Evacuate.%s/%s", address, verb, hall), http.NoBody)
 }
 
-// vacatedAt returns the span in which nothing new may come to a data hall at a time; nil
-// for none. The caller holds mu.
-func (f *fleet) vacatedAt(hall string, at time.Time) *vacatedSpan {
-	for i, v := range f.vacated {
-		if v.hall == hall && at.After(f.net.due(v.acked, vacateWithin)) && (v.opening.IsZero() || at.Before(v.opening)) {
-			return &f.vacated[i]
+// vacatedSpanAt returns the span in which a data hall may get no new requests at the given time,
+// or nil. The caller holds mu.
+func (f *fleet) vacatedSpanAt(hall string, at time.Time) *vacatedSpan {
+	for i, v := range f.vacatedSpans {
+		if v.hall == hall && at.After(f.net.effectDeadline(v.ackedAt, maxVacateDelay)) && (v.reopenedAt.IsZero() || at.Before(v.reopenedAt)) {
+			return &f.vacatedSpans[i]
 		}
 	}
 	return nil
 }
 
-// vacate HALL [off=true] orders a data hall to be vacated or opened again, [at=KEEPER]
-// at one keeper, where the status must be want=200, [within=5s].
+// vacate HALL [off=true] [at=KEEPER] [want=200] [within=5s] orders a data hall to be vacated, or
+// reopened with off. With at, the order goes to that keeper only, which must answer with want.
 func cmdVacate(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
-	at, want, within, off := "", http.StatusOK, 5*time.Second, false
-	options(ts, args[1:], map[string]func(string) error{
-		"at": toString(&at), "want": toInt(&want), "within": toDuration(&within), "off": toBool(&off),
+	at, want, timeout, off := "", http.StatusOK, 5*time.Second, false
+	parseOptions(ts, args[1:], map[string]func(string) error{
+		"at": toString(&at), "want": toInt(&want), "within": toDuration(&timeout), "off": toBool(&off),
 	})
 	if at == "" {
-		ts.Check(f.vacate(args[0], !off, within))
+		ts.Check(f.vacate(args[0], !off, timeout))
 		return
 	}
-	if got := f.orderAt(fmt.Sprintf("%s:%d", f.advertised(f.indexOf(at)), f.ctl), args[0], !off); got != want {
+	if got := f.orderVacateAt(fmt.Sprintf("%s:%d", f.advertisedIP(f.indexOf(at)), f.controlPort), args[0], !off); got != want {
 		ts.Fatalf("%s at %s: status %d, want %d", args[0], at, got, want)
 	}
 }
--- a/internal/scenario/operators_test.go
+++ b/internal/scenario/operators_test.go
@@ -15,10 +15,10 @@
 	"sumachead/internal/tool"
 )
 
-// tool ARGS... runs the operators' tool; its output goes to stdout.
+// tool ARGS... runs the operators' command-line tool and prints its output to stdout.
 func cmdTool(ts *testscript.TestScript, neg bool, args []string) {
 	var out bytes.Buffer
-	code := of(ts).sys.tool(&out, args...)
+	code := scriptOf(ts).sys.tool(&out, args...)
 	_, _ = ts.Stdout().Write(out.Bytes())
 	ts.Setenv("EXIT", strconv.Itoa(code))
 	if (code != 0) != neg {
@@ -26,10 +26,10 @@
 	}
 }
 
-// edit PATH FIELD VALUE [TOOL OPTIONS...] sets one field of an object of the
-// tree; the exit code is in $EXIT.
+// edit PATH FIELD VALUE [TOOL OPTIONS...] sets one field of an object in the settings tree. The
+// exit code is in $EXIT.
 func cmdEdit(ts *testscript.TestScript, neg bool, args []string) {
-	s := of(ts)
+	s := scriptOf(ts)
 	var out bytes.Buffer
 	if code := s.sys.tool(&out, "settings", "get", args[0]); code != 0 {
 		ts.Fatalf("%s", out.String())
@@ -44,10 +44,10 @@
 	cmdTool(ts, neg, append([]string{"settings", "set", args[0], string(data)}, args[3:]...))
 }
 
-// race N BASE lets N operators make different changes against one revision:
-// one must win and the others be shown the winner.
+// race N BASE makes N different changes against one revision concurrently. One must win, and the
+// others must be shown the winning change.
 func cmdRace(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := scriptOf(ts)
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	codes := make([]int, n)
@@ -73,27 +73,27 @@
 	}
 }
 
-// changes N makes N changes of the tree, one after another.
+// changes N makes N changes of the settings tree, one after another.
 func cmdChanges(ts *testscript.TestScript, _ bool, args []string) {
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	for i := range n {
 		var out bytes.Buffer
-		if code := of(ts).sys.tool(&out, "settings", "set", "budgets/masar", fmt.Sprintf(`{"note":"change %d"}`, i)); code != 0 {
+		if code := scriptOf(ts).sys.tool(&out, "settings", "set", "budgets/masar", fmt.Sprintf(`{"note":"change %d"}`, i)); code != 0 {
 			ts.Fatalf("change %d: exit %d: %s", i, code, out.String())
 		}
 	}
 }
 
-// until DURATION PATTERN TOOL ARGS... runs the tool until its output matches.
+// until DURATION PATTERN TOOL ARGS... runs the tool until its output matches the pattern.
 func cmdUntil(ts *testscript.TestScript, _ bool, args []string) {
-	var within time.Duration
-	ts.Check(toDuration(&within)(args[0]))
+	var timeout time.Duration
+	ts.Check(toDuration(&timeout)(args[0]))
 	pattern := regexp.MustCompile(args[1])
 	var out bytes.Buffer
-	err := eventually(within, args[1], func() bool {
+	err := eventually(timeout, args[1], func() bool {
 		out.Reset()
-		of(ts).sys.tool(&out, args[2:]...)
+		scriptOf(ts).sys.tool(&out, args[2:]...)
 		return pattern.Match(out.Bytes())
 	})
 	if err != nil {
@@ -101,10 +101,10 @@
 	}
 }
 
-// follower names a keeper that does not lead the ledger in $KEEPER, its hall in
-// $HALL and the router there in $ROUTER.
+// follower sets $KEEPER to a keeper that does not lead the ledger group, $HALL to its data hall
+// and $ROUTER to the router there.
 func cmdFollower(ts *testscript.TestScript, _ bool, _ []string) {
-	leader, err := of(ts).sys.resolve("leader")
+	leader, err := scriptOf(ts).sys.resolve("leader")
 	ts.Check(err)
 	for i := range 3 {
 		if name := fmt.Sprintf("keeper-%d", i+1); name != leader.name {
--- a/internal/scenario/parted_test.go
+++ b/internal/scenario/parted_test.go
@@ -7,24 +7,23 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// span is a time; until is zero while it lasts.
+// span is a period of time; until is zero while it lasts.
 type span struct{ from, until time.Time }
 
-// founders is how many keepers a fleet begins with; the others are taken in later.
-const founders = 3
+// initialKeepers is the number of keepers that form the group at first. The others join later.
+const initialKeepers = 3
 
-// parting notes within which times cuts left no majority of the keepers together: nobody can
-// lead then, and an order that was committed just before can't be told by a leader. The zero
-// value notes nothing.
-type parting struct {
-	// groups are the sets of keepers of which a majority may be asked for, by the places of
-	// each keeper: the founders, and all.
+// quorumMonitor records when partitions leave no quorum of keepers connected. Nobody can lead
+// then, so that an order committed just before may reach no router. The zero value records nothing.
+type quorumMonitor struct {
+	// groups are the sets of keepers that may need a majority, by the labels of each keeper: the
+	// initial keepers and all keepers.
 	groups [][][]string
-	spans  []span
+	losses []span
 }
 
-// watchKeepers has it noted when no majority of a fleet's keepers is together.
-func (n *network) watchKeepers(f *fleet) {
+// monitorKeepers records losses of the quorum of a fleet's keepers from now on.
+func (n *network) monitorKeepers(f *fleet) {
 	var all [][]string
 	for _, name := range f.order {
 		if p := f.processes[name]; p.role == "keeper" {
@@ -33,32 +32,33 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.parted.groups = [][][]string{all[:min(len(all), founders)], all}
+	n.quorum.groups = [][][]string{all[:min(len(all), initialKeepers)], all}
 }
 
-// look notes whether the keepers are parted at a time; free tells whether a way is open.
-func (p *parting) look(free func(from, to []string) bool, now time.Time) {
-	parted := len(p.groups) > 0
+// update records whether the quorum is lost at the given time. The callback reachable reports
+// whether a direction is not blocked.
+func (p *quorumMonitor) update(reachable func(from, to []string) bool, now time.Time) {
+	lost := len(p.groups) > 0
 	for _, g := range p.groups {
-		parted = parted && !hasMajority(g, free)
+		lost = lost && !hasMajority(g, reachable)
 	}
-	last := len(p.spans) - 1
-	lasts := last >= 0 && p.spans[last].until.IsZero()
+	last := len(p.losses) - 1
+	ongoing := last >= 0 && p.losses[last].until.IsZero()
 	switch {
-	case parted && !lasts:
-		p.spans = append(p.spans, span{from: now})
-	case !parted && lasts:
-		p.spans[last].until = now
+	case lost && !ongoing:
+		p.losses = append(p.losses, span{from: now})
+	case !lost && ongoing:
+		p.losses[last].until = now
 	}
 }
 
-// hasMajority reports whether some keeper and those that it reaches, and that reach it, are more
-// than half of a group.
-func hasMajority(group [][]string, free func(from, to []string) bool) bool {
+// hasMajority reports whether some keeper is connected in both directions to a majority of a
+// group, itself included.
+func hasMajority(group [][]string, reachable func(from, to []string) bool) bool {
 	for i, a := range group {
 		n := 0
 		for j, b := range group {
-			if i == j || free(a, b) && free(b, a) {
+			if i == j || reachable(a, b) && reachable(b, a) {
 				n++
 			}
 		}
@@ -69,10 +69,10 @@
 	return false
 }
 
-// due returns when something that was acknowledged must be in force at the latest, as of now:
-// spans in which the keepers were parted do not count.
-func due(acked time.Time, within time.Duration, spans []span, now time.Time) time.Time {
-	at := acked.Add(within)
+// effectDeadline returns when something acknowledged must be in force, as of now. Times without a
+// quorum don't count.
+func effectDeadline(acked time.Time, timeout time.Duration, spans []span, now time.Time) time.Time {
+	at := acked.Add(timeout)
 	for _, s := range spans {
 		until := s.until
 		if until.IsZero() {
@@ -89,9 +89,9 @@
 	return at
 }
 
-func TestDue(t *testing.T) {
-	begun := time.Now()
-	after := func(d time.Duration) time.Time { return begun.Add(d) }
+func TestEffectDeadline(t *testing.T) {
+	start := time.Now()
+	after := func(d time.Duration) time.Time { return start.Add(d) }
 	tests := []struct {
 		name  string
 		spans []span
@@ -100,19 +100,19 @@
 		{"none", nil, 2 * time.Second},
 		{"before", []span{{after(-time.Second), after(-time.Millisecond)}}, 2 * time.Second},
 		{"after", []span{{after(3 * time.Second), after(4 * time.Second)}}, 2 * time.Second},
-		{"one that had begun", []span{{after(-time.Second), after(time.Second)}}, 3 * time.Second},
-		{"one that goes beyond", []span{{after(time.Second), after(4 * time.Second)}}, 5 * time.Second},
-		{"one that lasts", []span{{after(time.Second), time.Time{}}}, 11 * time.Second},
+		{"one that had already begun", []span{{after(-time.Second), after(time.Second)}}, 3 * time.Second},
+		{"one that outlasts the deadline", []span{{after(time.Second), after(4 * time.Second)}}, 5 * time.Second},
+		{"one that is ongoing", []span{{after(time.Second), time.Time{}}}, 11 * time.Second},
 		{"two", []span{{after(0), after(time.Second)}, {after(2500 * time.Millisecond), after(3 * time.Second)}}, 3500 * time.Millisecond},
 	}
 	for _, tt := range tests {
-		if got := due(begun, 2*time.Second, tt.spans, after(10*time.Second)).Sub(begun); got != tt.want {
-			t.Errorf("%s: due after %v, want %v", tt.name, got, tt.want)
+		if got := effectDeadline(start, 2*time.Second, tt.spans, after(10*time.Second)).Sub(start); got != tt.want {
+			t.Errorf("%s: deadline after %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-func TestParting(t *testing.T) {
+func TestQuorumMonitor(t *testing.T) {
 	keeper := func(hall, name string) []string { return []string{hall, name, "keeper"} }
 	three := [][]string{keeper("hall-1", "keeper-1"), keeper("hall-2", "keeper-2"), keeper("hall-3", "keeper-3")}
 	five := append(three[:3:3], keeper("hall-1", "keeper-4"), keeper("hall-2", "keeper-5"))
@@ -121,25 +121,25 @@
 		cut  func(*network)
 		want bool
 	}{
-		{"no cut", func(*network) {}, false},
-		{"two halls", func(n *network) { n.set("hall-1", "hall-2", true) }, false},
-		{"a keeper", func(n *network) { n.set("keeper-1", "keeper", true) }, false},
-		{"two halls, and the third keeper hears nobody", func(n *network) {
-			n.set("hall-1", "hall-2", true)
-			n.setOneWay("keeper", "keeper-3", true)
+		{"no partition", func(*network) {}, false},
+		{"two halls", func(n *network) { n.setBlocked("hall-1", "hall-2", true) }, false},
+		{"a keeper", func(n *network) { n.setBlocked("keeper-1", "keeper", true) }, false},
+		{"two halls, and the third keeper receives nothing", func(n *network) {
+			n.setBlocked("hall-1", "hall-2", true)
+			n.setBlockedOneWay("keeper", "keeper-3", true)
 		}, true},
 		{"healed", func(n *network) {
-			n.set("hall-1", "hall-2", true)
-			n.setOneWay("keeper", "keeper-3", true)
+			n.setBlocked("hall-1", "hall-2", true)
+			n.setBlockedOneWay("keeper", "keeper-3", true)
 			n.healAll()
 		}, false},
 	}
 	for _, tt := range tests {
 		n := newNetwork()
-		n.parted.groups = [][][]string{three, five}
+		n.quorum.groups = [][][]string{three, five}
 		tt.cut(n)
-		lasts := len(n.parted.spans) > 0 && n.parted.spans[len(n.parted.spans)-1].until.IsZero()
-		if diff := cmp.Diff(tt.want, lasts); diff != "" {
+		ongoing := len(n.quorum.losses) > 0 && n.quorum.losses[len(n.quorum.losses)-1].until.IsZero()
+		if diff := cmp.Diff(tt.want, ongoing); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", tt.name, diff)
 		}
 	}
--- a/internal/scenario/process_test.go
+++ b/internal/scenario/process_test.go
@@ -18,16 +18,16 @@
 	args    []string
 	env     []string
 	ip      string
-	rpc     string // own address
+	rpc     string // address to which the process binds
 	http    string
 	data    string
-	relay   *relay
+	proxy   *proxy
 	cmd     *exec.Cmd
 	done    chan struct{}
 	frozen  bool
 }
 
-// start starts a process; its output goes to a file.
+// start starts a process with its output appended to a log file.
 func (s *system) start(p *process) error {
 	log, err := os.OpenFile(s.path(p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// kill ends a process at once.
+// kill kills a process with SIGKILL.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	if p.done != nil {
@@ -75,7 +75,7 @@
 	p.frozen = false
 }
 
-// stop ends a process as planned; it must exit with 0.
+// stop stops a process gracefully. It must exit with code 0.
 func (p *process) stop() error {
 	p.signal(syscall.SIGTERM)
 	select {
--- a/internal/scenario/ratelimit_test.go
+++ b/internal/scenario/ratelimit_test.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// limitSettles is how long after a server has named a limit all routers keep to it.
-	limitSettles = time.Second
-	// limitWindow is the time in which requests are counted.
+	// limitSettleTime is how long after a server has reported a limit all routers keep to it.
+	limitSettleTime = time.Second
+	// limitWindow is the time over which requests are counted.
 	limitWindow = 4 * time.Second
-	// limitFactor and limitSlack bound what a server receives in a window: so many times its
-	// limit, and so many requests more.
+	// limitFactor and limitSlack bound the requests to a server per window: limitFactor times its
+	// limit, plus limitSlack.
 	limitFactor = 1.1
 	limitSlack  = 2
-	// minLimitUse is the part of a limit that is used while requests wait for it.
+	// minLimitUse is the share of a limit that must be used while requests wait for it.
 	minLimitUse = 0.9
 )
 
-// arrivals returns when requests reached a server, in order.
+// arrivals returns the sorted arrival times of requests at a server.
 func arrivals(r *standin.Replica) []time.Time {
 	var out []time.Time
 	for _, x := range r.Runs() {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// countBetween counts the times from one on until before another.
+// countBetween counts the times in [from, to).
 func countBetween(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, x := range times {
@@ -47,9 +47,9 @@
 	return n
 }
 
-// mostInWindow returns the most requests that reached a server in a window between two times,
-// and when the window began.
-func mostInWindow(r *standin.Replica, from, to time.Time) (most int, at time.Time) {
+// maxInWindow returns the maximum number of requests that reached a server in any window between
+// two times, and the start of that window.
+func maxInWindow(r *standin.Replica, from, to time.Time) (count int, at time.Time) {
 	times := arrivals(r)
 	for _, x := range times {
 		if x.Before(from) || x.After(to) {
@@ -59,23 +59,23 @@
 		if end.After(to) {
 			end = to
 		}
-		if n := countBetween(times, x, end); n > most {
-			most, at = n, x
+		if n := countBetween(times, x, end); n > count {
+			count, at = n, x
 		}
 	}
-	return most, at
+	return count, at
 }
 
-// checkLimit reports windows between two times in which a server received more than its limit
-// allows.
+// checkLimit fails the test if a server received more requests than its limit allows in any
+// window between two times.
 func checkLimit(t *testing.T, r *standin.Replica, rate float64, from, to time.Time) {
 	t.Helper()
-	most, at := mostInWindow(r, from, to)
+	count, at := maxInWindow(r, from, to)
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
-	t.Logf("%s, limited to %v a second: %d requests in %v, %.1f allowed", r.ID, rate, most, limitWindow, allowed)
-	if float64(most) > allowed {
-		t.Errorf("%s named a limit of %v requests a second and received %d in %v from %v on; %.1f are allowed",
-			r.ID, rate, most, limitWindow, at.Sub(from), allowed)
+	t.Logf("%s, limited to %v/s: %d requests in %v, %.1f allowed", r.ID, rate, count, limitWindow, allowed)
+	if float64(count) > allowed {
+		t.Errorf("%s reported a limit of %v requests/s and received %d in %v from %v on; %.1f are allowed",
+			r.ID, rate, count, limitWindow, at.Sub(from), allowed)
 	}
 }
 
@@ -90,27 +90,27 @@
 		// all: no other server could take the requests.
 		all bool
 	}{
-		{"an engine, less than one a second for each router", "stream", 4, 1, engines[1:2], false},
-		{"an engine, many a second", "stream", 2, 10, engines[1:2], false},
+		{"an engine, less than one per second and router", "stream", 4, 1, engines[1:2], false},
+		{"an engine, many per second", "stream", 2, 10, engines[1:2], false},
 		{"engines of two halls", "stream", 2, 3, engines[:2], false},
 		{"all engines", "stream", 2, 4, engines, true},
-		{"a plain server, requests that may be repeated", "check", 2, 3, []string{"desk-1"}, false},
-		{"a plain server, requests that may not", "hold", 4, 1, []string{"desk-1"}, false},
+		{"a plain server, idempotent requests", "check", 2, 3, []string{"desk-1"}, false},
+		{"a plain server, non-idempotent requests", "hold", 4, 1, []string{"desk-1"}, false},
 		{"all plain servers", "check", 2, 5, []string{"desk-1", "desk-2", "desk-3"}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(t, fleetShape{keepers: 3, routers: tt.routers, relays: 6, engines: 6, desks: 3, prepaid: 100_000_000})
-			f.allKnown(t)
-			servers := f.limit(tt.rate, tt.servers...)
-			begun := time.Now().Add(limitSettles)
-			end := begun.Add(2 * limitWindow)
-			callers := f.press(tt.kind, end)
+			f.awaitServersKnown(t)
+			servers := f.setLimit(tt.rate, tt.servers...)
+			start := time.Now().Add(limitSettleTime)
+			end := start.Add(2 * limitWindow)
+			callers := f.sendLoad(tt.kind, end)
 			for _, r := range servers {
-				checkLimit(t, r, tt.rate, begun, end)
-				if n := countBetween(arrivals(r), begun, end); tt.all && float64(n) < minLimitUse*tt.rate*end.Sub(begun).Seconds() {
-					t.Errorf("%s received %d requests in %v while requests waited", r.ID, n, end.Sub(begun))
+				checkLimit(t, r, tt.rate, start, end)
+				if n := countBetween(arrivals(r), start, end); tt.all && float64(n) < minLimitUse*tt.rate*end.Sub(start).Seconds() {
+					t.Errorf("%s received %d requests in %v while requests waited", r.ID, n, end.Sub(start))
 				}
 			}
 			for _, x := range unserved(callers, tt.all) {
@@ -119,20 +119,21 @@
 			if tt.all {
 				f.checkLimitsEnd(t, tt.kind, tt.rate, servers)
 			}
-			if broken := f.promises(f.shape.prepaid); len(broken) > 0 {
-				t.Errorf("broken:\n%s", strings.Join(broken, "\n"))
+			if violations := f.violations(f.shape.prepaid); len(violations) > 0 {
+				t.Errorf("broken:\n%s", strings.Join(violations, "\n"))
 			}
 		})
 	}
 }
 
-// checkLimitsEnd ends the limits of all servers of a service and checks that they are used again.
+// checkLimitsEnd ends the limits of all servers of a service and checks that they are used fully
+// again.
 func (f *fleet) checkLimitsEnd(t *testing.T, kind string, rate float64, servers []*standin.Replica) {
 	t.Helper()
 	for _, r := range servers {
 		r.NameLimit(0)
 	}
-	f.press(kind, time.Now().Add(limitWindow))
+	f.sendLoad(kind, time.Now().Add(limitWindow))
 	n := 0
 	for _, r := range servers {
 		n += countBetween(arrivals(r), time.Now().Add(-limitWindow/2), time.Now())
@@ -142,22 +143,22 @@
 	}
 }
 
-// limit makes servers name a limit, and returns them.
-func (f *fleet) limit(rate float64, names ...string) (servers []*standin.Replica) {
+// setLimit makes servers report a limit, and returns them.
+func (f *fleet) setLimit(rate float64, names ...string) (servers []*standin.Replica) {
 	for _, n := range names {
-		f.server[n].NameLimit(rate)
-		servers = append(servers, f.server[n])
+		f.replicas[n].NameLimit(rate)
+		servers = append(servers, f.replicas[n])
 	}
 	return servers
 }
 
-// unserved describes requests without a whole answer: where all servers are limited, only those
-// that were held for long or whose callers were not told when to come back.
+// unserved describes requests without a complete response. Where all servers are limited, prompt
+// refusals with a Retry-After are expected and left out.
 func unserved(callers []*caller, limited bool) (out []string) {
 	for _, c := range callers {
-		atOnce := c.ended.Sub(c.sent) < time.Second && c.told && strings.Contains(c.refusal, "not_run")
-		if !c.whole && (!limited || !atOnce) {
-			out = append(out, fmt.Sprintf("%s after %v: %s", c, c.ended.Sub(c.sent).Round(time.Millisecond), c.refusal))
+		refusedPromptly := c.endedAt.Sub(c.sentAt) < time.Second && c.hasRetryAfter && strings.Contains(c.refusal, "not_run")
+		if !c.complete && (!limited || !refusedPromptly) {
+			out = append(out, fmt.Sprintf("%s after %v: %s", c, c.endedAt.Sub(c.sentAt).Round(time.Millisecond), c.refusal))
 		}
 	}
 	if len(out) > 1 {
--- a/internal/scenario/relay_test.go
+++ b/internal/scenario/relay_test.go
@@ -8,79 +8,78 @@
 	"time"
 )
 
-// network decides which places reach each other, and how fast. A place is a hall, a
-// process or a class of processes. A way leads in one direction, and is the two names
-// with a bar between them.
+// network decides which processes reach each other, and with what latency. Processes are matched
+// by labels: their data hall, name and class. A direction is the two labels joined by a bar.
 type network struct {
 	mu sync.Mutex // guards the fields below
-	// blocked are the ways that are cut.
+	// blocked are the directions that are blocked.
 	blocked map[string]bool
-	// delays are how long bytes take, by the way.
+	// delays are the latencies by direction.
 	delays map[string]time.Duration
-	// changed is closed when a way is cut or heals.
+	// changed is closed when a direction is blocked or unblocked.
 	changed chan struct{}
-	// pairs are the connections that relays pass on.
-	pairs map[*pair]bool
-	// parted are the times within which nobody could lead.
-	parted parting
+	// connections are the connections that proxies forward.
+	connections map[*proxiedConn]bool
+	// quorum records the times in which no keeper could lead.
+	quorum quorumMonitor
 }
 
-// pair is one connection that a relay passes on, as the two that it consists of.
-type pair struct {
+// proxiedConn is one connection through a proxy, as its two TCP connections.
+type proxiedConn struct {
 	caller, target net.Conn
-	// from and to are the places that the caller and the target count among.
+	// from and to are the labels of the caller and of the target.
 	from, to []string
 }
 
-// newNetwork returns a network without a cut.
+// newNetwork returns a network without partitions.
 func newNetwork() *network {
 	return &network{
 		blocked: make(map[string]bool), delays: make(map[string]time.Duration),
-		changed: make(chan struct{}), pairs: make(map[*pair]bool),
+		changed: make(chan struct{}), connections: make(map[*proxiedConn]bool),
 	}
 }
 
-// set cuts or heals the way between two places, both ways.
-func (n *network) set(a, b string, blocked bool) {
+// setBlocked blocks or unblocks both directions between two labels.
+func (n *network) setBlocked(a, b string, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked[a+"|"+b], n.blocked[b+"|"+a] = blocked, blocked
 	n.notify()
 }
 
-// setOneWay cuts or heals the way from one place to another.
-func (n *network) setOneWay(from, to string, blocked bool) {
+// setBlockedOneWay blocks or unblocks one direction between two labels.
+func (n *network) setBlockedOneWay(from, to string, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked[from+"|"+to] = blocked
 	n.notify()
 }
 
-// setDelay makes bytes between two places late, both ways; 0 ends that.
+// setDelay sets the latency between two labels in both directions; 0 removes it.
 func (n *network) setDelay(a, b string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delays[a+"|"+b], n.delays[b+"|"+a] = d, d
 }
 
-// reset ends all connections between two places by a reset.
+// reset resets all TCP connections between two labels.
 func (n *network) reset(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for p := range n.pairs {
-		if joins(p.from, p.to, a, b) || joins(p.from, p.to, b, a) {
+	for p := range n.connections {
+		if connects(p.from, p.to, a, b) || connects(p.from, p.to, b, a) {
 			abort(p.caller)
 			abort(p.target)
 		}
 	}
 }
 
-// joins reports whether a connection leads from one place to another.
-func joins(from, to []string, a, b string) bool {
+// connects reports whether a connection leads from one label to another.
+func connects(from, to []string, a, b string) bool {
 	return slices.Contains(from, a) && slices.Contains(to, b)
 }
 
-// abort closes a connection by a reset.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -88,41 +87,40 @@
 	_ = c.Close()
 }
 
-// notify wakes up all that wait for a way, and looks at what the keepers can do. The caller
-// holds mu.
+// notify wakes up all waiters in awaitReachable and updates the quorum monitor. The caller holds
+// mu.
 func (n *network) notify() {
-	n.parted.look(n.free, time.Now())
+	n.quorum.update(n.reachable, time.Now())
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// join notes a pair of connections until the function it returns is called.
-func (n *network) join(p *pair) (leave func()) {
+// track registers a proxied connection until the returned function is called.
+func (n *network) track(p *proxiedConn) (leave func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.pairs[p] = true
+	n.connections[p] = true
 	return func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		delete(n.pairs, p)
+		delete(n.connections, p)
 	}
 }
 
-// delay returns how long bytes take: the longest of what is set for any pair of the
-// places.
+// delay returns the latency between two sets of labels: the maximum over all pairs.
 func (n *network) delay(from, to []string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var most time.Duration
+	var longest time.Duration
 	for _, a := range from {
 		for _, b := range to {
-			most = max(most, n.delays[a+"|"+b])
+			longest = max(longest, n.delays[a+"|"+b])
 		}
 	}
-	return most
+	return longest
 }
 
-// healAll ends all cuts and delays.
+// healAll removes all blocks and delays.
 func (n *network) healAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,20 +128,20 @@
 	n.notify()
 }
 
-// due returns when something that was acknowledged must be in force at the latest.
-func (n *network) due(acked time.Time, within time.Duration) time.Time {
+// effectDeadline returns when something acknowledged must be in force.
+func (n *network) effectDeadline(acked time.Time, timeout time.Duration) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return due(acked, within, n.parted.spans, time.Now())
+	return effectDeadline(acked, timeout, n.quorum.losses, time.Now())
 }
 
-// open waits until the way is free; false means that the relay has ended.
-func (n *network) open(from, to []string, done <-chan struct{}) bool {
+// awaitReachable waits until a direction is open. It returns false when the proxy is closed.
+func (n *network) awaitReachable(from, to []string, done <-chan struct{}) bool {
 	for {
 		n.mu.Lock()
-		free, changed := n.free(from, to), n.changed
+		reachable, changed := n.reachable(from, to), n.changed
 		n.mu.Unlock()
-		if free {
+		if reachable {
 			return true
 		}
 		select {
@@ -154,8 +152,8 @@
 	}
 }
 
-// free reports whether no way between the places is cut. The caller holds mu.
-func (n *network) free(from, to []string) bool {
+// reachable reports whether no direction between the labels is blocked. The caller holds mu.
+func (n *network) reachable(from, to []string) bool {
 	for _, a := range from {
 		for _, b := range to {
 			if n.blocked[a+"|"+b] {
@@ -166,22 +164,22 @@
 	return true
 }
 
-// relay stands before one process. Bytes that a cut holds back go on after it
-// has healed, as they do in a real network.
-type relay struct {
+// proxy is a TCP proxy in front of one process. Bytes held back by a partition are delivered
+// after it heals, as TCP does in a real network.
+type proxy struct {
 	lis net.Listener
-	// target is the process's own address, and places what it counts among.
+	// target is the address to which the process binds, and labels are the process's labels.
 	target string
-	places []string
+	labels []string
 	net    *network
-	// placesOf names the places of a caller by its IP address.
-	placesOf func(ip string) []string
+	// labelsOf returns the labels of a caller by its IP address.
+	labelsOf func(ip string) []string
 	// done is closed by close.
 	done chan struct{}
 }
 
-// run takes connections until close is called.
-func (r *relay) run() {
+// run accepts connections until close is called.
+func (r *proxy) run() {
 	for {
 		c, err := r.lis.Accept()
 		if err != nil {
@@ -191,18 +189,18 @@
 	}
 }
 
-// close ends run, and connections that wait for a way which is cut.
-func (r *relay) close() {
+// close ends run and connections that wait for a blocked direction.
+func (r *proxy) close() {
 	close(r.done)
 	_ = r.lis.Close()
 }
 
-// serve passes one connection on until it ends.
-func (r *relay) serve(c net.Conn) {
+// serve forwards one connection until it ends.
+func (r *proxy) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	ip, _, _ := strings.Cut(c.RemoteAddr().String(), ":")
-	from := r.placesOf(ip)
-	if !r.net.open(from, r.places, r.done) {
+	from := r.labelsOf(ip)
+	if !r.net.awaitReachable(from, r.labels, r.done) {
 		return
 	}
 	up, err := net.Dial("tcp", r.target)
@@ -210,22 +208,22 @@
 		return
 	}
 	defer func() { _ = up.Close() }()
-	defer r.net.join(&pair{c, up, from, r.places})()
+	defer r.net.track(&proxiedConn{c, up, from, r.labels})()
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(up, c, from, r.places) })
-	both.Go(func() { r.pump(c, up, r.places, from) })
+	both.Go(func() { r.copyBytes(up, c, from, r.labels) })
+	both.Go(func() { r.copyBytes(c, up, r.labels, from) })
 	both.Wait()
 }
 
-// pump copies what one side sends to the other until an end, late where the way is
-// delayed, and holding back while it is cut.
-func (r *relay) pump(to, from net.Conn, fromPlaces, toPlaces []string) {
+// copyBytes copies from one connection to the other until EOF or an error, with the latency of
+// the direction, and holds bytes back while it is blocked.
+func (r *proxy) copyBytes(to, from net.Conn, fromPlaces, toPlaces []string) {
 	defer func() { _ = to.Close() }()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		time.Sleep(r.net.delay(fromPlaces, toPlaces))
-		if !r.net.open(fromPlaces, toPlaces, r.done) {
+		if !r.net.awaitReachable(fromPlaces, toPlaces, r.done) {
 			return
 		}
 		if n > 0 {
--- a/internal/scenario/rest_test.go
+++ b/internal/scenario/rest_test.go
@@ -11,35 +11,25 @@
 	"sumachead/internal/standin"
 )
 
-// What users saw: engines that had too much turned requests away and asked for three seconds of
-// rest, and got the same requests as before from the same routers. Callers were refused
-// although most engines were free, and over a tenth of two kinds of request was not served.
+// Routers must send nothing to an engine within a backoff that it has requested.
 //
-// The order of events: an engine answers 503, says that it has not run the request, and says
-// for how long it wants nothing; the router sends the request to another engine; within the
-// rest the next request for the same shared parts is placed at the engine that rests, is
-// turned away too, and often goes to a second one that rests, after which no attempt is left.
-//
-// The cause: what a server says of itself in an answer was thrown away. The answer ended its
-// attempt, and a server that is busy is not doubted; with nothing under way there it even
-// was the better choice.
-//
-// The evidence: 83 lines of routers in eight seconds, of all five routers at all four engines
-// that turned away, 58 of them about first attempts; requests that came to the router
-// 7 ms before they reached the engine, 2.7 s after it had asked for 3 s, so that they had not
-// been chosen before; and no line or figure that told of a rest.
+// An overloaded engine answers 503, says that it has not run the request and asks for a backoff,
+// here of 3 s. If routers drop that notice, the next request with the same cached prompt parts is
+// placed at the same engine, which has nothing in flight and therefore looks best. It is rejected
+// again, often also by a second engine in backoff, after which no attempt is left: over a tenth of
+// two kinds of requests are refused although most engines are free.
 
 const (
-	// restSettles is how long after a server has asked for rest a request may still come that
-	// was sent before its answer was read.
-	restSettles = 500 * time.Millisecond
-	// atOnceRefused bounds the time to an answer that is known from the start.
-	atOnceRefused = 200 * time.Millisecond
+	// backoffGrace is how long after a server has requested backoff it may still get requests
+	// that were sent before its response was read.
+	backoffGrace = 500 * time.Millisecond
+	// maxRefusalTime bounds the time to a refusal that needs no wait.
+	maxRefusalTime = 200 * time.Millisecond
 )
 
-// allKnown waits until each router knows all backend servers: of the plain ones, a fleet that
-// has just started may know the first only.
-func (f *fleet) allKnown(t *testing.T) {
+// awaitServersKnown waits until each router knows all backend servers. Right after the start of a
+// fleet a router may know only the first of the plain servers.
+func (f *fleet) awaitServersKnown(t *testing.T) {
 	t.Helper()
 	want := strconv.Itoa(f.shape.engines + f.shape.desks)
 	if err := eventually(startTimeout, "all routers know all servers", func() bool {
@@ -54,20 +44,20 @@
 	}
 }
 
-// turnAway makes servers turn away all that comes to them, and returns them.
-func (f *fleet) turnAway(rest time.Duration, names ...string) (servers []*standin.Replica) {
+// rejectRequests makes servers reject all requests with a backoff, and returns them.
+func (f *fleet) rejectRequests(backoff time.Duration, names ...string) (servers []*standin.Replica) {
 	for _, n := range names {
-		f.server[n].TurnAway(rest)
-		servers = append(servers, f.server[n])
+		f.replicas[n].TurnAway(backoff)
+		servers = append(servers, f.replicas[n])
 	}
 	return servers
 }
 
-// never excuses no process.
-func never(string, time.Time, time.Time) bool { return false }
+// neverExcused excuses no process.
+func neverExcused(string, time.Time, time.Time) bool { return false }
 
-// byID returns what callers saw, by their requests.
-func (f *fleet) byID() map[string]*caller {
+// callersByID returns what callers saw, by request id.
+func (f *fleet) callersByID() map[string]*caller {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := make(map[string]*caller, len(f.callers))
@@ -77,21 +67,21 @@
 	return out
 }
 
-// sentWithinRests lists, for each answer by which a server asked for rest, the requests that
-// reached it from the same router within that time, but for those right after the answer and
-// where the router is excused between the two.
-func (f *fleet) sentWithinRests(r *standin.Replica, excused func(router string, from, to time.Time) bool) (out [][]string) {
-	callers, turned := f.byID(), r.TurnedAway()
-	for i, asked := range turned {
+// sentByBackoff lists, for each response with a backoff, the later requests of the same
+// router that reached the server within that backoff. It leaves out those within backoffGrace and
+// those of a router that is excused in between.
+func (f *fleet) sentByBackoff(r *standin.Replica, excused func(router string, from, to time.Time) bool) (out [][]string) {
+	callers, rejected := f.callersByID(), r.TurnedAway()
+	for i, rejection := range rejected {
 		var sent []string
-		router := callers[asked.ID].router
-		for _, x := range turned[i+1:] {
-			since := x.At.Sub(asked.At)
-			if since >= asked.Rest {
+		router := callers[rejection.ID].router
+		for _, x := range rejected[i+1:] {
+			since := x.At.Sub(rejection.At)
+			if since >= rejection.Rest {
 				break
 			}
-			if since > restSettles && callers[x.ID].router == router && !excused(router, asked.At, x.At) {
-				sent = append(sent, fmt.Sprintf("%s from %s at %s, %v after it had asked for %v", x.ID, router, r.ID, since.Round(time.Millisecond), asked.Rest))
+			if since > backoffGrace && callers[x.ID].router == router && !excused(router, rejection.At, x.At) {
+				sent = append(sent, fmt.Sprintf("%s from %s at %s, %v after a requested backoff of %v", x.ID, router, r.ID, since.Round(time.Millisecond), rejection.Rest))
 			}
 		}
 		out = append(out, sent)
@@ -99,18 +89,19 @@
 	return out
 }
 
-// againstRest lists all of them.
-func (f *fleet) againstRest(r *standin.Replica) (out []string) {
-	for _, sent := range f.sentWithinRests(r, never) {
+// sentDuringBackoff lists the requests of all backoffs together.
+func (f *fleet) sentDuringBackoff(r *standin.Replica) (out []string) {
+	for _, sent := range f.sentByBackoff(r, neverExcused) {
 		out = append(out, sent...)
 	}
 	return out
 }
 
-// sentAfterLeaving lists the requests that reached a server from a router, and were sent by their
-// callers later than a time after that router had passed on an answer that says it leaves.
-func (f *fleet) sentAfterLeaving(r *standin.Replica, within time.Duration, excused func(router string, from, to time.Time) bool) (out []string) {
-	callers, passed := f.byID(), f.passedOnLeaving(r)
+// sentAfterLeaving lists the requests that reached a server through a router and were sent by
+// their callers more than a grace period after that router had forwarded a response in which the
+// server announced that it leaves.
+func (f *fleet) sentAfterLeaving(r *standin.Replica, grace time.Duration, excused func(router string, from, to time.Time) bool) (out []string) {
+	callers, forwarded := f.callersByID(), f.forwardedLeaving(r)
 	reached := make(map[string]time.Time)
 	for _, x := range r.Runs() {
 		reached[x.ID] = x.At
@@ -120,9 +111,9 @@
 	}
 	for id, reachedAt := range reached {
 		c := callers[id]
-		for _, at := range passed[c.router] {
-			if c.sent.After(at.Add(within)) && !excused(c.router, at, reachedAt) {
-				out = append(out, fmt.Sprintf("%s reached %s from %s %v after an answer that said it leaves", id, r.ID, c.router, c.sent.Sub(at).Round(time.Millisecond)))
+		for _, at := range forwarded[c.router] {
+			if c.sentAt.After(at.Add(grace)) && !excused(c.router, at, reachedAt) {
+				out = append(out, fmt.Sprintf("%s reached %s from %s %v after a response that announced that it leaves", id, r.ID, c.router, c.sentAt.Sub(at).Round(time.Millisecond)))
 				break
 			}
 		}
@@ -130,34 +121,34 @@
 	return out
 }
 
-// passedOnLeaving lists when each router has passed on answers by which a server said that it
-// leaves.
-func (f *fleet) passedOnLeaving(r *standin.Replica) map[string][]time.Time {
-	passed := make(map[string][]time.Time)
+// forwardedLeaving returns, by router, when it forwarded responses in which a server announced
+// that it leaves.
+func (f *fleet) forwardedLeaving(r *standin.Replica) map[string][]time.Time {
+	forwarded := make(map[string][]time.Time)
 	since := r.LeavingSince()
 	if since.IsZero() {
-		return passed
+		return forwarded
 	}
-	callers := f.byID()
+	callers := f.callersByID()
 	for _, x := range r.Runs() {
-		if c := callers[x.ID]; x.At.After(since) && c.whole {
-			passed[c.router] = append(passed[c.router], c.ended)
+		if c := callers[x.ID]; x.At.After(since) && c.complete {
+			forwarded[c.router] = append(forwarded[c.router], c.endedAt)
 		}
 	}
-	return passed
+	return forwarded
 }
 
-// press sends requests of a kind to all routers until a moment, some at a time, and returns
-// what their callers saw. Nobody comes back.
-func (f *fleet) press(kind string, until time.Time) (callers []*caller) {
-	const at = 6
+// sendLoad sends requests of a kind to all routers concurrently until the given time, without
+// retries, and returns what their callers saw.
+func (f *fleet) sendLoad(kind string, until time.Time) (callers []*caller) {
+	const concurrency = 6
 	var all sync.WaitGroup
 	var mu sync.Mutex // guards callers
-	for k := range at {
+	for k := range concurrency {
 		all.Go(func() {
 			for i := 0; time.Now().Before(until); i++ {
 				router := fmt.Sprintf("router-%d", (i+k)%f.shape.routers+1)
-				c := f.ask(fleetRequest{kind: kind, router: router, body: fmt.Sprintf("%d %d", k, i), prompt: 10, events: 5})
+				c := f.do(fleetRequest{kind: kind, router: router, body: fmt.Sprintf("%d %d", k, i), prompt: 10, events: 5})
 				mu.Lock()
 				callers = append(callers, c)
 				mu.Unlock()
@@ -168,49 +159,49 @@
 	return callers
 }
 
-func TestServersThatAskForRest(t *testing.T) {
+func TestServersThatRequestBackoff(t *testing.T) {
 	tests := []struct {
 		name, kind string
-		rest       time.Duration
+		backoff    time.Duration
 		servers    []string
 	}{
-		{"an engine, long rests", "stream", 3 * time.Second, []string{"engine-2"}},
-		{"an engine, rests that end and are asked for again", "stream", 900 * time.Millisecond, []string{"engine-2"}},
+		{"an engine, long backoffs", "stream", 3 * time.Second, []string{"engine-2"}},
+		{"an engine, backoffs that end and are requested again", "stream", 900 * time.Millisecond, []string{"engine-2"}},
 		{"engines of two halls", "stream", 3 * time.Second, []string{"engine-1", "engine-2"}},
-		{"a plain server, requests that may be repeated", "check", 3 * time.Second, []string{"desk-1"}},
-		{"a plain server, requests that may not", "hold", 3 * time.Second, []string{"desk-1"}},
+		{"a plain server, idempotent requests", "check", 3 * time.Second, []string{"desk-1"}},
+		{"a plain server, non-idempotent requests", "hold", 3 * time.Second, []string{"desk-1"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(t, fleetShape{keepers: 3, routers: 2, relays: 6, engines: 6, desks: 3, prepaid: 10_000_000})
-			f.allKnown(t)
-			servers := f.turnAway(tt.rest, tt.servers...)
-			callers := f.press(tt.kind, time.Now().Add(3*time.Second+restSettles))
-			var against []string
+			f.awaitServersKnown(t)
+			servers := f.rejectRequests(tt.backoff, tt.servers...)
+			callers := f.sendLoad(tt.kind, time.Now().Add(3*time.Second+backoffGrace))
+			var early []string
 			for _, r := range servers {
-				against = append(against, f.againstRest(r)...)
+				early = append(early, f.sentDuringBackoff(r)...)
 				if len(r.TurnedAway()) == 0 {
-					t.Errorf("%s was asked for nothing", r.ID)
+					t.Errorf("%s got no request", r.ID)
 				}
 			}
-			if len(against) > 0 {
-				t.Errorf("%d requests against a rest, the first: %s", len(against), against[0])
+			if len(early) > 0 {
+				t.Errorf("%d requests during a backoff, the first: %s", len(early), early[0])
 			}
-			// A request may meet all servers that rest before its router knows of any, once
-			// in each round of rests.
-			mayMiss := 0
+			// A request may be rejected by all servers in backoff before its router knows of any,
+			// once in each round of backoffs.
+			maxFailed := 0
 			if len(servers) > 1 {
-				mayMiss = f.shape.routers * len(servers)
+				maxFailed = f.shape.routers * len(servers)
 			}
-			var missed []string
+			var failed []string
 			for _, c := range callers {
-				if !c.whole {
-					missed = append(missed, c.String()+" "+c.refusal)
+				if !c.complete {
+					failed = append(failed, c.String()+" "+c.refusal)
 				}
 			}
-			if len(missed) > mayMiss {
-				t.Errorf("%d of %d requests have no whole answer while other servers could serve them, the first: %s", len(missed), len(callers), missed[0])
+			if len(failed) > maxFailed {
+				t.Errorf("%d of %d requests have no complete response while other servers could serve them, the first: %s", len(failed), len(callers), failed[0])
 			}
 			for _, r := range servers {
 				r.TurnAway(0)
@@ -219,30 +210,30 @@
 			for _, r := range servers {
 				before[r] = len(r.Runs())
 			}
-			f.press(tt.kind, time.Now().Add(tt.rest+time.Second))
+			f.sendLoad(tt.kind, time.Now().Add(tt.backoff+time.Second))
 			for _, r := range servers {
 				if len(r.Runs()) == before[r] {
-					t.Errorf("%s gets nothing after its rest", r.ID)
+					t.Errorf("%s gets no request after its backoff", r.ID)
 				}
 			}
-			if broken := f.promises(f.shape.prepaid); len(broken) > 0 {
-				t.Errorf("broken:\n%s", strings.Join(broken, "\n"))
+			if violations := f.violations(f.shape.prepaid); len(violations) > 0 {
+				t.Errorf("broken:\n%s", strings.Join(violations, "\n"))
 			}
 		})
 	}
 }
 
-// Where all servers of a service rest, requests are refused at once, and told when one of them
-// will take them.
-func TestAllServersRest(t *testing.T) {
+// If all servers of a service are in backoff, requests are refused immediately, and their
+// Retry-After points to the end of the first backoff.
+func TestAllServersBackOff(t *testing.T) {
 	f := startFleet(t, fleetShape{keepers: 3, routers: 1, relays: 3, engines: 3, desks: 1, prepaid: 10_000_000})
-	f.allKnown(t)
-	const rest = 3 * time.Second
-	servers := f.turnAway(rest, "engine-1", "engine-2", "engine-3")
+	f.awaitServersKnown(t)
+	const backoff = 3 * time.Second
+	servers := f.rejectRequests(backoff, "engine-1", "engine-2", "engine-3")
 	ask := func() *caller {
-		return f.ask(fleetRequest{kind: "stream", router: "router-1", prompt: 10, events: 5, wait: 10 * time.Second})
+		return f.do(fleetRequest{kind: "stream", router: "router-1", prompt: 10, events: 5, timeout: 10 * time.Second})
 	}
-	if err := eventually(rest, "all servers have asked for rest", func() bool {
+	if err := eventually(backoff, "all servers have requested backoff", func() bool {
 		ask()
 		for _, r := range servers {
 			if len(r.TurnedAway()) == 0 {
@@ -260,28 +251,28 @@
 		}
 		r.TurnAway(0)
 	}
-	ends := first.Add(rest)
+	backoffEnd := first.Add(backoff)
 	c := ask()
-	if c.ended.Sub(c.sent) > atOnceRefused || c.whole || !strings.Contains(c.refusal, "not_run") {
-		t.Errorf("after %v: %s %s", c.ended.Sub(c.sent), c, c.refusal)
+	if c.endedAt.Sub(c.sentAt) > maxRefusalTime || c.complete || !strings.Contains(c.refusal, "not_run") {
+		t.Errorf("after %v: %s %s", c.endedAt.Sub(c.sentAt), c, c.refusal)
 	}
-	const spread = 2 * time.Second // half of the wait, and some
-	if back := c.ended.Add(time.Duration(c.retry * float64(time.Second))); back.Before(ends.Add(-restSettles)) || back.After(ends.Add(spread)) {
-		t.Errorf("its caller is to come back %v after the first rest has ended", back.Sub(ends))
+	const spread = 2 * time.Second // more than half of the wait, for its jitter
+	if retryAt := c.endedAt.Add(time.Duration(c.retryAfter * float64(time.Second))); retryAt.Before(backoffEnd.Add(-backoffGrace)) || retryAt.After(backoffEnd.Add(spread)) {
+		t.Errorf("Retry-After points to %v after the end of the first backoff", retryAt.Sub(backoffEnd))
 	}
-	time.Sleep(time.Until(ends.Add(restSettles)))
-	if c := ask(); !c.whole {
-		t.Errorf("after the rests: %s %s", c, c.refusal)
+	time.Sleep(time.Until(backoffEnd.Add(backoffGrace)))
+	if c := ask(); !c.complete {
+		t.Errorf("after the backoffs: %s %s", c, c.refusal)
 	}
 	for _, r := range servers {
-		if against := f.againstRest(r); len(against) > 0 {
-			t.Errorf("%d requests against a rest, the first: %s", len(against), against[0])
+		if early := f.sentDuringBackoff(r); len(early) > 0 {
+			t.Errorf("%d requests during a backoff, the first: %s", len(early), early[0])
 		}
 	}
 }
 
-// A server that says in its answers that it leaves gets nothing new from a router that has
-// passed one on, whatever its heartbeats say; its next life does.
+// A server that announces in its responses that it leaves gets no new requests from a router that
+// has forwarded one, whatever its heartbeats say. Its next incarnation does.
 func TestServerThatSaysInAnswersThatItLeaves(t *testing.T) {
 	tests := []struct{ name, kind, server string }{
 		{"an engine", "stream", "engine-2"},
@@ -291,31 +282,31 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(t, fleetShape{keepers: 3, routers: 2, relays: 3, engines: 3, desks: 2, prepaid: 10_000_000})
-			f.allKnown(t)
-			r := f.server[tt.server]
+			f.awaitServersKnown(t)
+			r := f.replicas[tt.server]
 			r.SayLeaving()
-			callers := f.press(tt.kind, time.Now().Add(4*time.Second))
+			callers := f.sendLoad(tt.kind, time.Now().Add(4*time.Second))
 			for _, c := range callers {
-				if !c.whole {
+				if !c.complete {
 					t.Errorf("%s %s", c, c.refusal)
 				}
 			}
-			if len(f.passedOnLeaving(r)) == 0 {
-				t.Fatal("no router has heard of it") // one that sends to its own hall only may not
+			if len(f.forwardedLeaving(r)) == 0 {
+				t.Fatal("no router has forwarded the announcement") // a router that sends to its own hall only may not get one
 			}
-			if late := f.sentAfterLeaving(r, 0, never); len(late) > 0 {
-				t.Errorf("%d requests reached it that were sent after its router had heard that it leaves, the first: %s", len(late), late[0])
+			if late := f.sentAfterLeaving(r, 0, neverExcused); len(late) > 0 {
+				t.Errorf("%d requests reached it that were sent after their router had forwarded that it leaves, the first: %s", len(late), late[0])
 			}
 			before := len(r.Runs())
 			r.StartUnderID()
-			if err := eventually(startTimeout, "its next life is used", func() bool {
-				f.press(tt.kind, time.Now().Add(100*time.Millisecond))
+			if err := eventually(startTimeout, "its next incarnation is used", func() bool {
+				f.sendLoad(tt.kind, time.Now().Add(100*time.Millisecond))
 				return len(r.Runs()) > before
 			}); err != nil {
 				t.Error(err)
 			}
-			if broken := f.promises(f.shape.prepaid); len(broken) > 0 {
-				t.Errorf("broken:\n%s", strings.Join(broken, "\n"))
+			if violations := f.violations(f.shape.prepaid); len(violations) > 0 {
+				t.Errorf("broken:\n%s", strings.Join(violations, "\n"))
 			}
 		})
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// atOnce bounds how many systems run at a time, whatever the machine has.
-var atOnce = make(chan struct{}, 3)
+// systemSlots limits how many systems run concurrently, independent of the machine.
+var systemSlots = make(chan struct{}, 3)
 
 type systemKey struct{}
 
@@ -51,19 +51,19 @@
 
 // script is the state of one running script.
 type script struct {
-	env     *testscript.Env
-	sys     *system
-	mu      sync.Mutex // guards the fields below
-	answers map[string]answer
-	pending sync.WaitGroup
+	env       *testscript.Env
+	sys       *system
+	mu        sync.Mutex // guards the fields below
+	responses map[string]response
+	pending   sync.WaitGroup
 }
 
-func of(ts *testscript.TestScript) *script {
+func scriptOf(ts *testscript.TestScript) *script {
 	return ts.Value(systemKey{}).(*script)
 }
 
-// options reads words of the form name=value; the rest is returned.
-func options(ts *testscript.TestScript, args []string, set map[string]func(string) error) (rest []string) {
+// parseOptions parses words of the form name=value and returns the others.
+func parseOptions(ts *testscript.TestScript, args []string, set map[string]func(string) error) (rest []string) {
 	for _, a := range args {
 		name, value, ok := strings.Cut(a, "=")
 		f := set[name]
@@ -98,23 +98,23 @@
 	return func(v string) (err error) { *p, err = time.ParseDuration(v); return err }
 }
 
-// system [keepers=3] [routers=2] [engines=2] [bookings=1] [slots=8]
-// [budget=N] [cost=N] [cut_off=refuse|serve] [token=2ms] [presume=60s] starts a system.
+// system [keepers=3] [routers=2] [engines=2] [bookings=1] [slots=8] [budget=N] [cost=N]
+// [cut_off=refuse|serve] [token=2ms] [presume=60s] [checks_epochs=true] starts a system.
 func cmdSystem(ts *testscript.TestScript, _ bool, args []string) {
 	sh := shape{keepers: 3, routers: 2, engines: 2, bookings: 1, slots: 8, budget: 1000000, callCost: 10}
 	var cutOff string
-	options(ts, args, map[string]func(string) error{
+	parseOptions(ts, args, map[string]func(string) error{
 		"keepers": toInt(&sh.keepers), "routers": toInt(&sh.routers), "engines": toInt(&sh.engines),
 		"bookings": toInt(&sh.bookings), "slots": toInt(&sh.slots), "budget": toInt(&sh.budget),
-		"cost": toInt(&sh.callCost), "cut_off": toString(&cutOff), "presume": toDuration(&sh.presume),
+		"cost": toInt(&sh.callCost), "cut_off": toString(&cutOff), "presume": toDuration(&sh.presumeAfter),
 		"checks_epochs": func(string) error { sh.engineArgs = append(sh.engineArgs, "--checks-epochs"); return nil },
 		"token":         func(v string) error { sh.engineArgs = append(sh.engineArgs, "--token", v); return nil },
 	})
 	sh.cutOff = settings.CutOffPolicy(cutOff)
-	atOnce <- struct{}{}
-	ts.Defer(func() { <-atOnce })
-	s := of(ts)
-	s.answers = make(map[string]answer)
+	systemSlots <- struct{}{}
+	ts.Defer(func() { <-systemSlots })
+	s := scriptOf(ts)
+	s.responses = make(map[string]response)
 	s.sys = newSystem(ts.MkAbs("."), lookPath(ts, "sumacheadd"), lookPath(ts, "sumachead-standin"), sh)
 	ts.Check(s.sys.build())
 	ts.Defer(func() {
@@ -136,38 +136,38 @@
 			return p
 		}
 	}
-	ts.Fatalf("%s is not on the path", name)
+	ts.Fatalf("%s is not in PATH", name)
 	return ""
 }
 
-// dumpLogs shows the ends of all logs.
+// dumpLogs prints the tails of all logs.
 func (s *script) dumpLogs(ts *testscript.TestScript) {
-	const tail = 1500
+	const maxBytes = 1500
 	for _, name := range s.sys.order {
 		data, _ := os.ReadFile(s.sys.path(name + ".log"))
 		refused := refusalsIn(data)
-		if len(data) > tail {
-			data = data[len(data)-tail:]
+		if len(data) > maxBytes {
+			data = data[len(data)-maxBytes:]
 		}
 		ts.Logf("--- %s\n%s\n%s", name, data, refused)
 	}
 }
 
-// refusalsIn returns the last lines of a log about requests without a whole answer.
+// refusalsIn returns the last log lines about requests without a complete response.
 func refusalsIn(log []byte) string {
-	const most = 10
+	const maxLines = 10
 	var lines []string
 	for line := range strings.Lines(string(log)) {
 		if strings.Contains(line, "A request has no whole answer.") {
 			lines = append(lines, line)
 		}
 	}
-	return strings.Join(lines[max(len(lines)-most, 0):], "")
+	return strings.Join(lines[max(len(lines)-maxLines, 0):], "")
 }
 
-func (s *script) each(ts *testscript.TestScript, names []string, f func(*process) error) {
+func (s *script) forEachProcess(ts *testscript.TestScript, names []string, f func(*process) error) {
 	if len(names) == 0 {
-		ts.Fatalf("name a process")
+		ts.Fatalf("missing process name")
 	}
 	for _, n := range names {
 		p, err := s.sys.resolve(n)
@@ -176,20 +176,20 @@
 	}
 }
 
-// start NAME... starts processes that do not run.
+// start NAME... starts processes that are not running.
 func cmdStart(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).each(ts, args, of(ts).sys.start)
+	scriptOf(ts).forEachProcess(ts, args, scriptOf(ts).sys.start)
 }
 
-// shutdown NAME... stops processes as planned.
+// shutdown NAME... stops processes gracefully.
 func cmdShutdown(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).each(ts, args, (*process).stop)
+	scriptOf(ts).forEachProcess(ts, args, (*process).stop)
 }
 
-// crash NAME... kills processes; the last one's name is in $CRASHED, that of the
-// one before in $BEFORE. "leader" is the keeper that leads the ledger.
+// crash NAME... kills processes. $CRASHED is the name of the last one and $BEFORE that of the one
+// before. "leader" is the keeper that leads the ledger group.
 func cmdCrash(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).each(ts, args, func(p *process) error {
+	scriptOf(ts).forEachProcess(ts, args, func(p *process) error {
 		p.kill()
 		ts.Setenv("BEFORE", ts.Getenv("CRASHED"))
 		ts.Setenv("CRASHED", p.name)
@@ -197,9 +197,9 @@
 	})
 }
 
-// freeze NAME... stops processes from running without ending them.
+// freeze NAME... suspends processes.
 func cmdFreeze(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).each(ts, args, func(p *process) error {
+	scriptOf(ts).forEachProcess(ts, args, func(p *process) error {
 		p.signal(syscall.SIGSTOP)
 		p.frozen = true
 		ts.Setenv("FROZEN", p.name)
@@ -207,34 +207,34 @@
 	})
 }
 
-// thaw NAME... lets frozen processes go on.
+// thaw NAME... resumes suspended processes.
 func cmdThaw(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).each(ts, args, func(p *process) error {
+	scriptOf(ts).forEachProcess(ts, args, func(p *process) error {
 		p.signal(syscall.SIGCONT)
 		p.frozen = false
 		return nil
 	})
 }
 
-// wipe-disk NAME... removes the data folders of processes that do not run.
+// wipe-disk NAME... removes the data directories of stopped processes.
 func cmdWipe(ts *testscript.TestScript, _ bool, args []string) {
-	of(ts).each(ts, args, func(p *process) error {
+	scriptOf(ts).forEachProcess(ts, args, func(p *process) error {
 		if p.running() {
-			return fmt.Errorf("%s runs", p.name)
+			return fmt.Errorf("%s is running", p.name)
 		}
 		return os.RemoveAll(p.data)
 	})
 }
 
-// cut A B... cuts A off from each B. A place is a hall, a process or operator.
+// cut A B... partitions A from each B. Each is a data hall, a process or "operator".
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
 	setNetwork(ts, args, true)
 }
 
-// heal [A B...] ends cuts; all of them when nothing is named.
+// heal [A B...] ends the partitions between A and each B, or all of them without arguments.
 func cmdHeal(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) == 0 {
-		of(ts).sys.net.healAll()
+		scriptOf(ts).sys.net.healAll()
 		return
 	}
 	setNetwork(ts, args, false)
@@ -242,23 +242,23 @@
 
 func setNetwork(ts *testscript.TestScript, args []string, blocked bool) {
 	if len(args) < 2 {
-		ts.Fatalf("name two places")
+		ts.Fatalf("missing names of what to partition or heal")
 	}
 	for _, b := range args[1:] {
-		of(ts).sys.net.set(args[0], b, blocked)
+		scriptOf(ts).sys.net.setBlocked(args[0], b, blocked)
 	}
 }
 
 func parseCall(ts *testscript.TestScript, args []string) (q request, name, want string) {
 	q = request{router: "router-1", tokens: 8, bearer: workspaceKey, timeout: 30 * time.Second}
-	rest := options(ts, args, map[string]func(string) error{
+	rest := parseOptions(ts, args, map[string]func(string) error{
 		"router": toString(&q.router), "key": toString(&q.key), "hold": toBool(&q.hold), "stream": toBool(&q.stream),
-		"tokens": toInt(&q.tokens), "not_repeatable": toBool(&q.notRepeatable), "priority": toString(&q.priority),
+		"tokens": toInt(&q.tokens), "not_repeatable": toBool(&q.nonIdempotent), "priority": toString(&q.priority),
 		"bearer": toString(&q.bearer), "body": toString(&q.body), "timeout": toDuration(&q.timeout),
 		"deadline": toDuration(&q.deadline), "as": toString(&name), "want": toString(&want),
 	})
 	if len(rest) > 0 {
-		ts.Fatalf("unknown words: %v", rest)
+		ts.Fatalf("unknown options: %v", rest)
 	}
 	if name == "" {
 		name = q.key
@@ -266,19 +266,19 @@
 	return q, name, want
 }
 
-// call [router=R] [key=K] [hold=true] ... [as=NAME] [want=WORDS] [&] sends one
-// request. want lists words that must stand in the outcome, joined by commas.
+// call [router=R] [key=K] [hold=true] ... [as=NAME] [want=WORDS] [&] sends one request, with & in
+// the background. WORDS is a comma-separated list of words that the outcome must contain.
 func cmdCall(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := scriptOf(ts)
 	background := len(args) > 0 && args[len(args)-1] == "&"
 	if background {
 		args = args[:len(args)-1]
 	}
 	q, name, want := parseCall(ts, args)
-	run := func() answer {
+	run := func() response {
 		a := s.sys.call(q)
 		s.mu.Lock()
-		s.answers[name] = a
+		s.responses[name] = a
 		s.mu.Unlock()
 		return a
 	}
@@ -287,45 +287,45 @@
 		return
 	}
 	a := run()
-	_, _ = fmt.Fprintf(ts.Stdout(), "%s took=%dms\n%s\n", a, a.took.Milliseconds(), brief(a.body))
-	s.check(ts, name, a, want)
+	_, _ = fmt.Fprintf(ts.Stdout(), "%s took=%dms\n%s\n", a, a.duration.Milliseconds(), truncate(a.body))
+	s.checkOutcome(ts, name, a, want)
 }
 
-func (s *script) check(ts *testscript.TestScript, name string, a answer, want string) {
+func (s *script) checkOutcome(ts *testscript.TestScript, name string, a response, want string) {
 	for _, w := range strings.Split(want, ",") {
 		if !strings.Contains(a.String()+" ", w+" ") && w != "" {
 			s.dumpLogs(ts)
-			ts.Fatalf("call %s: want %s, got %s\n%s", name, w, a, brief(a.body))
+			ts.Fatalf("call %s: want %s, got %s\n%s", name, w, a, truncate(a.body))
 		}
 	}
 }
 
-// brief cuts a long body.
-func brief(s string) string {
-	const most = 400
-	return s[:min(len(s), most)]
+// truncate shortens a long body.
+func truncate(s string) string {
+	const maxBytes = 400
+	return s[:min(len(s), maxBytes)]
 }
 
-// await [NAME WANT]... waits for the calls in the background, and checks some.
+// await [NAME WANT]... waits for the background calls and checks the outcomes of the named ones.
 func cmdAwait(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
+	s := scriptOf(ts)
 	s.pending.Wait()
 	for i := 0; i+1 < len(args); i += 2 {
-		s.check(ts, args[i], s.answers[args[i]], args[i+1])
+		s.checkOutcome(ts, args[i], s.responses[args[i]], args[i+1])
 	}
 }
 
-// calls N at=C [call options] [min=N] sends N requests, C at a time, with keys
-// of their own, and prints the outcomes; at least min must be whole.
+// calls N at=C [call options] [min=N] sends N requests with different keys, C at a time, and
+// prints the outcomes. At least min must have a complete response.
 func cmdCalls(ts *testscript.TestScript, _ bool, args []string) {
-	s := of(ts)
-	n, at, least := 0, 16, 0
+	s := scriptOf(ts)
+	n, concurrency, minComplete := 0, 16, 0
 	ts.Check(toInt(&n)(args[0]))
-	rest := options(ts, args[1:], map[string]func(string) error{"at": toInt(&at), "min": toInt(&least)})
+	rest := parseOptions(ts, args[1:], map[string]func(string) error{"at": toInt(&concurrency), "min": toInt(&minComplete)})
 	q, prefix, _ := parseCall(ts, rest)
 	outcomes := make(map[string]int)
-	whole := 0
-	slots := make(chan struct{}, at)
+	complete := 0
+	slots := make(chan struct{}, concurrency)
 	var all sync.WaitGroup
 	for i := range n {
 		slots <- struct{}{}
@@ -339,21 +339,21 @@
 			a := s.sys.call(one)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.answers[one.key] = a
+			s.responses[one.key] = a
 			outcomes[a.String()]++
-			if a.whole {
-				whole++
+			if a.complete {
+				complete++
 			}
 		})
 	}
 	all.Wait()
-	_, _ = fmt.Fprintf(ts.Stdout(), "whole %d\n", whole)
+	_, _ = fmt.Fprintf(ts.Stdout(), "whole %d\n", complete)
 	for o, n := range outcomes {
 		_, _ = fmt.Fprintf(ts.Stdout(), "%d times %s\n", n, o)
 	}
-	if whole < least {
+	if complete < minComplete {
 		s.dumpLogs(ts)
-		ts.Fatalf("only %d of %d calls got a whole answer: %v", whole, n, outcomes)
+		ts.Fatalf("only %d of %d calls got a complete response: %v", complete, n, outcomes)
 	}
 }
 
--- a/internal/scenario/soak_test.go
+++ b/internal/scenario/soak_test.go
@@ -21,30 +21,29 @@
 	"sumachead/api/wire"
 )
 
-// soak is a random mix of faults under load.
+// soak injects random faults under load.
 type soak struct {
 	t    *testing.T
 	sys  *system
 	rand *rand.Rand
 
 	mu       sync.Mutex // guards the fields below
-	requests map[string]*tracked
+	requests map[string]*trackedRequest
 	faults   map[string]int
 	outcomes map[string]int
 }
 
-// tracked is one request with all that its caller was told.
-type tracked struct {
-	q       request
-	answers []answer
+// trackedRequest is one request with all responses that its caller got.
+type trackedRequest struct {
+	q         request
+	responses []response
 }
 
-// TestSoak runs only when SOAK says for how long, as in SOAK=60s; SEED repeats
-// a run.
+// TestSoak runs only if SOAK sets a duration, as in SOAK=60s. SEED repeats a run.
 func TestSoak(t *testing.T) {
-	lasts, err := time.ParseDuration(os.Getenv("SOAK"))
+	duration, err := time.ParseDuration(os.Getenv("SOAK"))
 	if err != nil {
-		t.Skip("set SOAK to a time")
+		t.Skip("set SOAK to a duration")
 	}
 	seed, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64)
 	if err != nil {
@@ -52,12 +51,12 @@
 	}
 	t.Logf("SEED=%d", seed)
 	s := &soak{
-		t: t, rand: rand.New(rand.NewPCG(seed, 1)), requests: make(map[string]*tracked),
+		t: t, rand: rand.New(rand.NewPCG(seed, 1)), requests: make(map[string]*trackedRequest),
 		faults: make(map[string]int), outcomes: make(map[string]int),
 	}
 	s.setUp()
 	defer s.sys.close()
-	s.run(time.Now().Add(lasts))
+	s.run(time.Now().Add(duration))
 	s.recover()
 	s.report()
 }
@@ -69,7 +68,7 @@
 	}
 	sh := shape{
 		keepers: 3, routers: 3, engines: 3, bookings: 3, slots: 8, budget: 100_000_000, callCost: 10,
-		presume: 2 * time.Second, engineArgs: []string{"--token", "3ms"},
+		presumeAfter: 2 * time.Second, engineArgs: []string{"--token", "3ms"},
 	}
 	s.sys = newSystem(s.t.TempDir(), daemon, filepath.Join(filepath.Dir(daemon), "sumachead-standin"), sh)
 	if err := s.sys.build(); err != nil {
@@ -81,7 +80,7 @@
 	time.Sleep(time.Second)
 }
 
-// run sends requests and makes faults until the time is up.
+// run sends requests and injects faults until the given time.
 func (s *soak) run(until time.Time) {
 	const callers = 10
 	var all sync.WaitGroup
@@ -99,20 +98,20 @@
 	all.Wait()
 }
 
-// request sends one request, again and again until it is answered whole or
-// refused for good.
+// request sends one request and retries it until it has a complete response or has run, at most
+// three times in all.
 func (s *soak) request(r *rand.Rand, name string) {
 	q := request{key: name, bearer: workspaceKey, tokens: 5 + r.IntN(60), timeout: 15 * time.Second, deadline: 10 * time.Second}
 	switch r.IntN(4) {
 	case 0:
 		q.stream = true
 	case 1, 2:
-		q.hold, q.notRepeatable, q.priority = true, true, "urgent"
+		q.hold, q.nonIdempotent, q.priority = true, true, "urgent"
 	}
 	if q.hold && r.IntN(2) == 0 {
 		q.key = hallName(r.IntN(3)) + "~" + name
 	}
-	tr := &tracked{q: q}
+	tr := &trackedRequest{q: q}
 	s.mu.Lock()
 	s.requests[q.key] = tr
 	s.mu.Unlock()
@@ -120,17 +119,17 @@
 		q.router = fmt.Sprintf("router-%d", r.IntN(3)+1)
 		a := s.sys.call(q)
 		s.mu.Lock()
-		tr.answers = append(tr.answers, a)
+		tr.responses = append(tr.responses, a)
 		s.outcomes[a.verdict+" "+a.reason]++
 		s.mu.Unlock()
-		if a.whole || a.verdict == "ran" {
+		if a.complete || a.verdict == "ran" {
 			return
 		}
 		time.Sleep(time.Duration(r.IntN(300)) * time.Millisecond)
 	}
 }
 
-func (s *soak) pick(role string) *process {
+func (s *soak) randomProcess(role string) *process {
 	var names []string
 	for _, n := range s.sys.order {
 		if s.sys.processes[n].role == role {
@@ -140,11 +139,11 @@
 	return s.sys.processes[names[s.rand.IntN(len(names))]]
 }
 
-func (s *soak) pause(least, most time.Duration) {
-	time.Sleep(least + time.Duration(s.rand.Int64N(int64(most-least))))
+func (s *soak) sleepBetween(minPause, maxPause time.Duration) {
+	time.Sleep(minPause + time.Duration(s.rand.Int64N(int64(maxPause-minPause))))
 }
 
-// fault makes one fault, or two at once, and ends it.
+// fault injects one random fault, at times with a second one, and ends it.
 func (s *soak) fault() {
 	kinds := []struct {
 		name string
@@ -157,17 +156,17 @@
 		{"router frozen", func() { s.freeze("router") }},
 		{"agent frozen", func() { s.freeze("agent") }},
 		{"keeper frozen", func() { s.freeze("keeper") }},
-		{"hall cut off", s.cutHall},
-		{"router cut off", s.cutRouter},
-		{"planned stop", s.planned},
-		{"backend at fault", s.backend},
-		{"server leaving", s.leave},
+		{"hall partitioned", s.cutHall},
+		{"router partitioned", s.cutRouter},
+		{"planned stop", s.plannedStop},
+		{"backend fault", s.backendFault},
+		{"server leaving", s.drainServer},
 		{"top-up", s.topup},
 	}
 	k := kinds[s.rand.IntN(len(kinds))]
 	s.faults[k.name]++
 	k.f()
-	s.pause(100*time.Millisecond, 800*time.Millisecond)
+	s.sleepBetween(100*time.Millisecond, 800*time.Millisecond)
 }
 
 func (s *soak) restart(p *process) {
@@ -177,36 +176,36 @@
 }
 
 func (s *soak) crash(role string) {
-	p := s.pick(role)
+	p := s.randomProcess(role)
 	p.kill()
-	var also *process
+	var second *process
 	if s.rand.IntN(3) == 0 {
-		if also = s.pick("router"); also != p {
-			also.kill()
-			s.faults["second at once"]++
+		if second = s.randomProcess("router"); second != p {
+			second.kill()
+			s.faults["second crash"]++
 		}
 	}
-	s.pause(100*time.Millisecond, 2*time.Second)
+	s.sleepBetween(100*time.Millisecond, 2*time.Second)
 	s.restart(p)
-	if also != nil && also != p {
-		s.restart(also)
+	if second != nil && second != p {
+		s.restart(second)
 	}
 }
 
-// loseDisk wipes a keeper's disk and waits until it votes again in both groups: to
-// lose a second disk before that is more than three keepers can bear. That is read off
-// the leaders' lines: while a group has no leader, its state shows nobody that is
-// catching up, nor does it show which life of a keeper votes.
+// loseDisk wipes a keeper's disk and waits until the keeper votes again in both groups, since
+// three keepers tolerate only one lost disk. This is read from the leaders' logs: while a group
+// has no leader, its status lists no learner, nor does it tell which incarnation of a keeper
+// votes.
 func (s *soak) loseDisk() {
-	p := s.pick("keeper")
+	p := s.randomProcess("keeper")
 	p.kill()
 	if err := os.RemoveAll(p.data); err != nil {
 		s.t.Error(err)
 	}
-	before := s.votesOf(p)
+	before := s.promotionsOf(p)
 	s.restart(p)
 	err := eventually(30*time.Second, p.name+" votes again in both groups", func() bool {
-		for group, n := range s.votesOf(p) {
+		for group, n := range s.promotionsOf(p) {
 			if n <= before[group] {
 				return false
 			}
@@ -219,8 +218,8 @@
 	s.awaitVoters()
 }
 
-// votesOf counts how often each group's leaders have made a keeper a voter.
-func (s *soak) votesOf(p *process) map[string]int {
+// promotionsOf counts how often the leaders of each group have made a keeper a voter.
+func (s *soak) promotionsOf(p *process) map[string]int {
 	votes := map[string]int{"settings": 0, "ledger": 0}
 	for _, n := range s.sys.order {
 		if s.sys.processes[n].role != p.role {
@@ -250,9 +249,9 @@
 }
 
 func (s *soak) freeze(role string) {
-	p := s.pick(role)
+	p := s.randomProcess(role)
 	p.signal(syscall.SIGSTOP)
-	s.pause(200*time.Millisecond, 7*time.Second)
+	s.sleepBetween(200*time.Millisecond, 7*time.Second)
 	p.signal(syscall.SIGCONT)
 }
 
@@ -260,35 +259,35 @@
 	h := s.rand.IntN(3)
 	for i := range 3 {
 		if i != h {
-			s.sys.net.set(hallName(h), hallName(i), true)
+			s.sys.net.setBlocked(hallName(h), hallName(i), true)
 		}
 	}
-	s.pause(time.Second, 9*time.Second)
+	s.sleepBetween(time.Second, 9*time.Second)
 	s.sys.net.healAll()
 }
 
 func (s *soak) cutRouter() {
-	p := s.pick("router")
+	p := s.randomProcess("router")
 	for _, k := range s.sys.keepers {
-		s.sys.net.set(p.name, k.ID, true)
+		s.sys.net.setBlocked(p.name, k.ID, true)
 	}
-	s.pause(time.Second, 8*time.Second)
+	s.sleepBetween(time.Second, 8*time.Second)
 	s.sys.net.healAll()
 }
 
-func (s *soak) planned() {
-	p := s.pick([]string{"router", "agent", "keeper"}[s.rand.IntN(3)])
+func (s *soak) plannedStop() {
+	p := s.randomProcess([]string{"router", "agent", "keeper"}[s.rand.IntN(3)])
 	if err := p.stop(); err != nil {
 		s.t.Error(err)
 	}
 	s.restart(p)
 }
 
-func (s *soak) backend() {
-	p := s.pick("standin")
+func (s *soak) backendFault() {
+	p := s.randomProcess("standin")
 	faults := []string{`{"stuck":3}`, `{"truncate":2}`, `{"lose_answer":true}`, `{"refuse":true}`, `{"crossed":true}`, `{"slow":20}`}
 	s.setFault(p, faults[s.rand.IntN(len(faults))])
-	s.pause(300*time.Millisecond, 2*time.Second)
+	s.sleepBetween(300*time.Millisecond, 2*time.Second)
 	s.setFault(p, `{}`)
 }
 
@@ -301,8 +300,8 @@
 	_ = resp.Body.Close()
 }
 
-func (s *soak) leave() {
-	name := s.pick("standin").name
+func (s *soak) drainServer() {
+	name := s.randomProcess("standin").name
 	for _, state := range []string{"leaving", "active"} {
 		var out bytes.Buffer
 		s.sys.tool(&out, "settings", "get", "servers/"+name)
@@ -312,7 +311,7 @@
 		}
 		out.Reset()
 		s.sys.tool(&out, "settings", "set", "servers/"+name, strings.TrimSpace(object))
-		s.pause(200*time.Millisecond, time.Second)
+		s.sleepBetween(200*time.Millisecond, time.Second)
 	}
 }
 
@@ -321,7 +320,7 @@
 	s.sys.tool(&out, "budget", "topup", "masar", "1000")
 }
 
-// recover ends all faults and waits until everything is settled.
+// recover ends all faults and waits until nothing is reserved any more.
 func (s *soak) recover() {
 	s.sys.net.healAll()
 	for _, p := range s.sys.processes {
@@ -333,7 +332,7 @@
 		}
 	}
 	s.awaitVoters()
-	err := eventually(60*time.Second, "all is settled", func() bool {
+	err := eventually(60*time.Second, "everything is settled", func() bool {
 		r, err := s.sys.ledger()
 		return err == nil && r.GetBudgets()[0].GetReserved() == 0 && !anyReserved(r)
 	})
@@ -346,7 +345,7 @@
 	return slices.ContainsFunc(r.GetEntries(), func(e *wire.Entry) bool { return e.GetState() == wire.EntryState_ENTRY_STATE_RESERVED })
 }
 
-// report checks the invariants and prints the figures.
+// report checks the invariants and prints statistics.
 func (s *soak) report() {
 	ledger, err := s.sys.ledger()
 	if err != nil {
@@ -363,17 +362,17 @@
 		billed += e.GetBilled()
 	}
 	if spent := ledger.GetBudgets()[0].GetSpent(); billed != spent {
-		s.t.Errorf("the entries bill %d, the budget spent %d", billed, spent)
+		s.t.Errorf("entries bill %d tokens, but the budget has spent %d", billed, spent)
 	}
-	figures := map[string]int{}
+	stats := map[string]int{}
 	for key, tr := range s.requests {
-		s.checkRequest(key, tr, runs[key], entries[key], figures)
+		s.checkRequest(key, tr, runs[key], entries[key], stats)
 	}
 	if names := s.sys.crashes(); len(names) > 0 {
 		s.t.Errorf("crashed or raced: %v", names)
 	}
 	s.t.Logf("faults: %v", s.faults)
-	s.t.Logf("requests %d, figures: %v", len(s.requests), figures)
+	s.t.Logf("requests %d, statistics: %v", len(s.requests), stats)
 	for _, o := range slices.Sorted(maps.Keys(s.outcomes)) {
 		s.t.Logf("  %5d %s", s.outcomes[o], o)
 	}
@@ -385,7 +384,7 @@
 func (s *soak) runsByKey() map[string]int {
 	runs := make(map[string]int)
 	for _, kind := range []string{"assistant", "booking"} {
-		all, err := s.sys.record(kind)
+		all, err := s.sys.runsOf(kind)
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -397,35 +396,35 @@
 	return runs
 }
 
-// checkRequest checks what one caller was told against what really happened.
-func (s *soak) checkRequest(key string, tr *tracked, runs int, e *wire.Entry, figures map[string]int) {
-	last := tr.answers[len(tr.answers)-1]
+// checkRequest compares what one caller was told with what really ran and was billed.
+func (s *soak) checkRequest(key string, tr *trackedRequest, runs int, e *wire.Entry, stats map[string]int) {
+	last := tr.responses[len(tr.responses)-1]
 	switch {
-	case last.whole:
-		figures["whole"]++
+	case last.complete:
+		stats["whole"]++
 	case last.verdict == string(sumachead.NotRun):
-		figures["not run"]++
+		stats["not run"]++
 	default:
-		figures["unclear"]++
+		stats["unclear"]++
 	}
 	if runs > 1 {
-		figures["ran more than once"]++
+		stats["ran more than once"]++
 	}
-	if tr.q.notRepeatable && runs > 1 {
-		s.t.Errorf("%s may not be repeated and ran %d times: %v", key, runs, tr.answers)
+	if tr.q.nonIdempotent && runs > 1 {
+		s.t.Errorf("%s is not idempotent but ran %d times: %v", key, runs, tr.responses)
 	}
 	if last.verdict == string(sumachead.NotRun) && runs > 0 {
-		s.t.Errorf("%s was refused as not run and ran %d times: %v", key, runs, tr.answers)
+		s.t.Errorf("%s was refused as not run but ran %d times: %v", key, runs, tr.responses)
 	}
-	if last.whole && (e.GetState() != wire.EntryState_ENTRY_STATE_SETTLED || e.GetBilled() == 0) {
-		s.t.Errorf("%s was answered whole and is not billed: %v", key, e)
+	if last.complete && (e.GetState() != wire.EntryState_ENTRY_STATE_SETTLED || e.GetBilled() == 0) {
+		s.t.Errorf("%s got a complete response but is not billed: %v", key, e)
 	}
-	if last.whole && !tr.q.hold && strings.Count(last.body, "clerks/"+key+"/") == 0 {
-		s.t.Errorf("%s got another's answer: %s", key, brief(last.body))
+	if last.complete && !tr.q.hold && strings.Count(last.body, "clerks/"+key+"/") == 0 {
+		s.t.Errorf("%s got the response to another request: %s", key, truncate(last.body))
 	}
-	for _, a := range tr.answers {
+	for _, a := range tr.responses {
 		if a.reason == string(sumachead.ReasonBudgetExhausted) {
-			figures["false refusals"]++
+			stats["false refusals"]++
 		}
 	}
 }
