--- a/internal/scenario/system_test.go
+++ b/internal/scenario/system_test.go
@@ -30,7 +30,7 @@
 	workspaceKey = "clerks-key"
 )
 
-// shape says how large a system is.
+// shape is the size and configuration of a system.
 type shape struct {
 	keepers, routers, engines, bookings int
 	slots                               int64
@@ -38,7 +38,7 @@
 	cutOff                              settings.CutOffPolicy
 	callCost                            int64
 	engineArgs                          []string
-	presume                             time.Duration
+	presumeAfter                        time.Duration
 }
 
 // system is a set of processes on loopback.
@@ -63,8 +63,8 @@
 
 func hallName(i int) string { return fmt.Sprintf("hall-%d", i%3+1) }
 
-// add makes a process with a relay before its RPC address.
-func (s *system) add(name, role, hall string) *process {
+// addProcess adds a process. Its RPC address gets a proxy from addProxy.
+func (s *system) addProcess(name, role, hall string) *process {
 	p := &process{name: name, role: role, hall: hall, command: s.daemon}
 	p.ip = fmt.Sprintf("127.0.1.%d", len(s.order)+2)
 	p.http = loopback(freePort())
@@ -75,20 +75,20 @@
 	return p
 }
 
-// front puts a relay before a process and returns its address.
-func (s *system) front(p *process) (string, error) {
+// addProxy puts a proxy in front of a process and returns the proxy's address.
+func (s *system) addProxy(p *process) (string, error) {
 	lis, err := net.Listen("tcp", loopback(freePort()))
 	if err != nil {
 		return "", err
 	}
-	p.relay = &relay{
-		lis: lis, target: p.rpc, places: []string{p.hall, p.name}, net: s.net,
-		placesOf: s.placesOf, done: make(chan struct{}),
+	p.proxy = &proxy{
+		lis: lis, target: p.rpc, labels: []string{p.hall, p.name}, net: s.net,
+		labelsOf: s.labelsOf, done: make(chan struct{}),
 	}
 	return lis.Addr().String(), nil
 }
 
-func (s *system) placesOf(ip string) []string {
+func (s *system) labelsOf(ip string) []string {
 	for _, p := range s.processes {
 		if p.ip == ip {
 			return []string{p.hall, p.name}
@@ -97,18 +97,18 @@
 	return []string{"operator"}
 }
 
-// build lays out the processes and writes their settings files.
+// build adds the processes and writes their configuration files.
 func (s *system) build() error {
 	for i := range s.shape.keepers {
-		p := s.add(fmt.Sprintf("keeper-%d", i+1), "keeper", hallName(i))
-		address, err := s.front(p)
+		p := s.addProcess(fmt.Sprintf("keeper-%d", i+1), "keeper", hallName(i))
+		address, err := s.addProxy(p)
 		if err != nil {
 			return err
 		}
 		s.keepers = append(s.keepers, config.Keeper{ID: p.name, Hall: sumachead.HallID(p.hall), Address: address})
 	}
 	s.client = &keeperclient.Client{Keepers: s.keepers, Pool: &rpc.Pool{}}
-	tree := s.tree()
+	tree := s.settingsTree()
 	for i := range s.shape.engines {
 		if err := s.addServer(tree, fmt.Sprintf("assistant-%d", i+1), "assistant", hallName(i)); err != nil {
 			return err
@@ -120,7 +120,7 @@
 		}
 	}
 	for i := range s.shape.routers {
-		s.add(fmt.Sprintf("router-%d", i+1), "router", hallName(i))
+		s.addProcess(fmt.Sprintf("router-%d", i+1), "router", hallName(i))
 	}
 	for _, p := range s.processes {
 		if p.command == s.daemon {
@@ -145,8 +145,8 @@
 
 func (s *system) path(name string) string { return filepath.Join(s.dir, name) }
 
-// tree is the settings tree without backend servers.
-func (s *system) tree() *settings.Objects {
+// settingsTree returns the settings tree without backend servers.
+func (s *system) settingsTree() *settings.Objects {
 	const keyHash = "4034d6cbdc22bbb1602c840dddc58b1ea16fa324133376cf31ecb4219eaddbc0"
 	return &settings.Objects{
 		Branches: map[string]settings.Branch{
@@ -163,17 +163,17 @@
 	}
 }
 
-// addServer adds a backend server's stand-in and its agent.
+// addServer adds the stand-in of a backend server and its agent.
 func (s *system) addServer(tree *settings.Objects, name, pool, hall string) error {
-	backend := s.add(name, "standin", hall)
+	backend := s.addProcess(name, "standin", hall)
 	kind := "model"
 	if pool == "booking" {
 		kind = "service"
 	}
 	backend.command = s.standin
 	backend.args = append([]string{"--listen", backend.http, "--kind", kind, "--slots", fmt.Sprint(s.shape.slots)}, s.shape.engineArgs...)
-	agent := s.add("agent-"+name, "agent", hall)
-	address, err := s.front(agent)
+	agent := s.addProcess("agent-"+name, "agent", hall)
+	address, err := s.addProxy(agent)
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 	}
 	switch p.role {
 	case "keeper":
-		c.RPC, c.Data, c.PresumeAfter.Duration = p.rpc, p.data, s.shape.presume
+		c.RPC, c.Data, c.PresumeAfter.Duration = p.rpc, p.data, s.shape.presumeAfter
 	case "agent":
 		c.RPC = p.rpc
 		server := strings.TrimPrefix(p.name, "agent-")
@@ -204,11 +204,11 @@
 	return os.WriteFile(p.args[1], data, 0o600)
 }
 
-// startAll starts everything, applies the tree and waits until all are ready.
+// startAll starts everything, applies the settings tree and waits until all processes are ready.
 func (s *system) startAll() error {
 	for _, p := range s.processes {
-		if p.relay != nil {
-			go p.relay.run()
+		if p.proxy != nil {
+			go p.proxy.run()
 		}
 	}
 	for _, name := range s.order {
@@ -254,18 +254,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func eventually(within time.Duration, what string, f func() bool) error {
-	deadline := time.Now().Add(within)
+func eventually(timeout time.Duration, what string, f func() bool) error {
+	deadline := time.Now().Add(timeout)
 	for !f() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("not within %v: %s", within, what)
+			return fmt.Errorf("timed out after %v: %s", timeout, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return nil
 }
 
-// close ends all processes.
+// close kills all processes.
 func (s *system) close() {
 	s.net.healAll()
 	for _, p := range s.processes {
@@ -273,13 +273,13 @@
 			p.signal(syscall.SIGCONT)
 		}
 		p.kill()
-		if p.relay != nil {
-			p.relay.close()
+		if p.proxy != nil {
+			p.proxy.close()
 		}
 	}
 }
 
-// leader returns the name of the keeper that leads a group.
+// leader returns the name of the keeper that leads a group, or "".
 func (s *system) leader(g sumachead.GroupID) string {
 	votes := make(map[string]int)
 	for _, k := range s.keepers {
@@ -304,8 +304,8 @@
 	return best
 }
 
-// resolve turns "leader" and "settings-leader" into a process, and returns any
-// other process by its name.
+// resolve returns a process by its name, or the leading keeper for "leader" and
+// "settings-leader".
 func (s *system) resolve(name string) (*process, error) {
 	switch name {
 	case "leader":
@@ -320,21 +320,21 @@
 	return p, nil
 }
 
-// ledger returns the ledger's state of the budget and of a workspace.
+// ledger returns the ledger's state of the workspace and its budget.
 func (s *system) ledger() (*wire.LookupReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	return keeperclient.Call[wire.LookupReply](ctx, s.client, keeperclient.GroupLedger, "Ledger.Lookup", &wire.LookupRequest{Workspace: "clerks"})
 }
 
-// record returns what the stand-ins of a kind really ran.
-func (s *system) record(prefix string) ([]*standin.Run, error) {
-	all, err := s.records(prefix)
+// runsOf returns the runs recorded by the stand-ins whose names begin with prefix.
+func (s *system) runsOf(prefix string) ([]*standin.Run, error) {
+	all, err := s.recordOf(prefix)
 	return all.Runs, err
 }
 
-// records returns what the stand-ins whose names begin so have recorded together.
-func (s *system) records(prefix string) (all standin.Record, err error) {
+// recordOf returns the merged records of the stand-ins whose names begin with prefix.
+func (s *system) recordOf(prefix string) (all standin.Record, err error) {
 	for _, p := range s.processes {
 		if p.role != "standin" || !strings.HasPrefix(p.name, prefix) {
 			continue
