--- a/internal/registry/cold.go
+++ b/internal/registry/cold.go
@@ -9,18 +9,18 @@
 	"sumachead/internal/moment"
 )
 
-// A server that has just started is cold for a while, and may become cold again at any
-// moment; its heartbeats tell for how much longer. The table keeps the moment at which
-// that ends, so that what passes through several processes grows no older on its way.
-// Within a life of a server that moment only moves later: whoever says that a server is
-// warm may not have heard of it yet, as a leader that has just started.
+// A server that has just started is cold for a while, and may become cold again at any moment;
+// its heartbeats carry the remaining cold time. The table stores the time at which the server
+// becomes warm, so that delays on the way through several processes do not extend it. Within an
+// incarnation of a server that time only moves later: a node that reports a server as warm,
+// such as a leader that has just started, may not have heard of its cold state yet.
 
-// coldSlack is by how much the end of the cold time may differ between heartbeats that
-// tell the same: they take some time to come, and differently long.
-const coldSlack = 400 * time.Millisecond
+// coldEndTolerance is the difference in the computed end of the cold time that counts as no
+// change: heartbeats that report the same end arrive with different delays.
+const coldEndTolerance = 400 * time.Millisecond
 
-// coldEnd returns until when a heartbeat says that its server is cold; zero where it says
-// that it is warm.
+// coldEnd returns the end of the cold time that a heartbeat reports, or the zero time if the
+// server is warm.
 func coldEnd(r *wire.ServerRecord, now time.Time) time.Time {
 	if r.GetColdMillis() <= 0 {
 		return time.Time{}
@@ -28,42 +28,42 @@
 	return now.Add(time.Duration(r.GetColdMillis()) * time.Millisecond)
 }
 
-// coldNews reports whether followers are to learn what a heartbeat tells of being cold: that
-// a server is which was taken for warm, or that it is for much longer.
-func (e *entry) coldNews(r *wire.ServerRecord, now time.Time) bool {
-	told := coldEnd(r, now)
+// coldChanged reports whether followers must be sent the cold state of a heartbeat: a server
+// that was considered warm is cold, or it stays cold for much longer than known.
+func (e *entry) coldChanged(r *wire.ServerRecord, now time.Time) bool {
+	end := coldEnd(r, now)
 	if e.coldUntil.After(now) {
-		return told.Sub(e.coldUntil) > coldSlack
+		return end.Sub(e.coldUntil) > coldEndTolerance
 	}
-	return told.After(now)
+	return end.After(now)
 }
 
-// takeCold takes in what a heartbeat tells of being cold, and reports whether it is news.
-// One that was taken in before tells nothing: it may have been repeated late.
-func (e *entry) takeCold(r *wire.ServerRecord, now time.Time) (news bool) {
+// applyCold applies the cold state of a heartbeat and reports whether it changed. A heartbeat
+// that was applied before changes nothing, since it may be a late duplicate.
+func (e *entry) applyCold(r *wire.ServerRecord, now time.Time) (changed bool) {
 	if e.record != nil && r.GetSequence() <= e.record.GetSequence() {
 		return false
 	}
-	news = e.coldNews(r, now)
+	changed = e.coldChanged(r, now)
 	e.coldUntil = moment.Later(e.coldUntil, coldEnd(r, now))
-	return news
+	return changed
 }
 
-// told returns the record as followers are told it. It must not be changed.
-func (e *entry) told(now time.Time) *wire.ServerRecord {
+// forFollowers returns the record as it is sent to followers. It must not be changed.
+func (e *entry) forFollowers(now time.Time) *wire.ServerRecord {
 	left := e.coldUntil.Sub(now)
 	if left <= 0 {
 		return e.record
 	}
 	r := proto.CloneOf(e.record)
-	r.ColdMillis = left.Milliseconds() + 1 // no part of a millisecond is lost on the way
+	r.ColdMillis = left.Milliseconds() + 1 // round up to whole milliseconds
 	return r
 }
 
-// ColdUntil returns until when a server is taken for cold; a time in the past for a warm
-// one. The servers of a data hall that was opened again may have become cold shortly
-// before: they are taken for cold for coldTime after it, whatever their last heartbeats
-// said.
+// ColdUntil returns the time until which a server is considered cold, which has passed for a
+// warm one. The servers of a data hall that was reopened may have become cold shortly before:
+// they are considered cold for coldTime after it was reopened, whatever their last heartbeats
+// reported.
 func (t *Table) ColdUntil(id string, coldTime time.Duration) time.Time {
 	t.lock()
 	defer t.mu.Unlock()
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -9,33 +9,33 @@
 	"sumachead/internal/moment"
 )
 
-// What a node does whose table follows a leader's.
+// This file holds the operations of a node whose table follows a leader's.
 
-// Take puts a leader's answer in force at a follower. A life that is known to
-// leave stays so, whatever an answer says that was under way before.
+// Apply applies a leader's response to a follower's table. An incarnation that is known to be
+// leaving stays so, since a response that was in flight before may still report it as ready.
 func (t *Table) Take(r *wire.FollowReply, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	if r.GetWhole() {
 		t.dropMissing(r.GetServers())
-		t.wholeAt = now
+		t.fullSyncAt = now
 	}
 	for _, s := range r.GetServers() {
-		t.takeOne(s, now)
+		t.applyRecord(s, now)
 	}
-	t.history, t.version, t.leads = r.GetHistory(), r.GetVersion(), false
+	t.history, t.version, t.leading = r.GetHistory(), r.GetVersion(), false
 	if len(r.GetServers()) > 0 {
 		t.notify()
 	}
 }
 
-// takeOne takes in one record. The caller holds mu.
-func (t *Table) takeOne(s *wire.ServerRecord, now time.Time) {
+// applyRecord applies one record of a response. The caller holds mu.
+func (t *Table) applyRecord(s *wire.ServerRecord, now time.Time) {
 	e := t.entries[s.GetId()]
-	if e != nil && (e.ended || e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING && s.GetState() != wire.ServerState_SERVER_STATE_LEAVING) {
+	if e != nil && (e.superseded || e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING && s.GetState() != wire.ServerState_SERVER_STATE_LEAVING) {
 		return
 	}
-	next := &entry{seen: now, coldUntil: coldEnd(s, now), ended: s.GetOver()}
+	next := &entry{lastSeen: now, coldUntil: coldEnd(s, now), superseded: s.GetOver()}
 	if e != nil {
 		next.coldUntil = moment.Later(e.coldUntil, next.coldUntil)
 	}
@@ -44,14 +44,14 @@
 		s.ColdMillis = 0
 	}
 	t.entries[s.GetId()] = next
-	t.set(next, s)
-	if s.GetOver() && t.OnOver != nil && (e == nil || !e.ended) {
+	t.setRecord(next, s)
+	if s.GetOver() && t.OnOver != nil && (e == nil || !e.superseded) {
 		t.OnOver(s)
 	}
 }
 
-// dropMissing forgets what a whole answer does not hold, but for lives that are
-// known to leave. The caller holds mu.
+// dropMissing drops the incarnations that a complete response does not list, except those known
+// to be leaving. The caller holds mu.
 func (t *Table) dropMissing(servers []*wire.ServerRecord) {
 	listed := make(map[string]bool, len(servers))
 	for _, s := range servers {
@@ -64,56 +64,56 @@
 	}
 }
 
-// Position returns the history and version that the table holds.
+// Position returns the history and version of the table.
 func (t *Table) Position() (history string, version uint64) {
 	t.lock()
 	defer t.mu.Unlock()
 	return t.history, t.version
 }
 
-// Forget drops lives that left long ago; a follower calls it.
+// Prune drops incarnations that left long ago. It is called by followers.
 func (t *Table) Forget(now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		most := forgetAfter
-		if e.own {
-			most = forgetOwnAfter
+		retention := recordRetention
+		if e.leftLocally {
+			retention = localRetention
 		}
-		if e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING && now.Sub(e.seen) > most {
+		if e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING && now.Sub(e.lastSeen) > retention {
 			t.drop(id)
 		}
 	}
 }
 
-// Confirm takes in that a server which was silent has answered as the life that this
-// table knows, and until when it says that it is cold; zero for a warm one. The leader
-// says otherwise once it knows more.
+// ConfirmAlive records that a silent server has responded to a health check as the incarnation
+// that this table knows, and the time until which it is cold, zero if it is warm. Newer
+// information from the leader overrides it.
 func (t *Table) Confirm(id string, coldUntil, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil {
 		e.coldUntil = moment.Later(e.coldUntil, coldUntil)
-		t.alive(e, e.record.GetSequence(), now)
+		t.recordHeartbeat(e, e.record.GetSequence(), now)
 		t.notify()
 	}
 }
 
-// Load takes in records of an earlier life of this table. Until they are heard of
-// again the servers count as silent: they are used where there is no other. Call it
-// before the first use; a server that is known already, as one that leaves is, stays
-// as it is.
+// Restore adds saved records of an earlier process. Until heartbeats of their servers arrive,
+// the servers count as silent: they are used only where no other server is available. It must
+// be called before the first use of the table; a server that is already known, such as one that
+// is leaving, is not changed.
 func (t *Table) Load(records []*wire.ServerRecord, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	for _, r := range records {
 		if t.entries[r.GetId()] == nil {
 			next := proto.CloneOf(r)
-			next.Version = 0 // of another numbering
+			next.Version = 0 // a version of another history
 			next.State = wire.ServerState_SERVER_STATE_SILENT
-			e := &entry{seen: now}
+			e := &entry{lastSeen: now}
 			t.entries[r.GetId()] = e
-			t.set(e, next)
+			t.setRecord(e, next)
 		}
 	}
 }
--- a/internal/registry/halls.go
+++ b/internal/registry/halls.go
@@ -6,23 +6,23 @@
 	"sumachead/api/wire"
 )
 
-// heardOfAll is how many heartbeats a leader that is new has heard of all servers after.
-// After a loss of power of everything the servers of a vacated hall were known before the
-// others, and requests were refused for good that others could serve (141 on one such day
-// with 200 requests a second).
-const heardOfAll = 3
+// discoveryHeartbeats is the number of heartbeat intervals after which a new leader has heard
+// from all servers. After a power failure of everything, the servers of a vacated hall were
+// known before the others, and requests that other servers could serve were refused
+// permanently: 141 at 200 requests a second.
+const discoveryHeartbeats = 3
 
-// hallView is what a follower knows of a data hall for which there was an order.
-type hallView struct {
-	// vacated: the hall's servers get nothing new.
+// hallStatus is what a follower knows of a data hall for which an order was given.
+type hallStatus struct {
+	// vacated is set if the hall's servers get no new requests.
 	vacated bool
-	// openedAt is when the hall was opened again; zero for one that never was.
+	// openedAt is when the hall was reopened; zero if it never was.
 	openedAt time.Time
 }
 
-// TakeHalls puts the states of data halls in force at a follower, and returns those that
-// have changed. States with a lower revision than the newest are passed over: what is
-// known never goes back within a life of this process.
+// ApplyHalls applies the states of data halls at a follower and returns those that have
+// changed. States with a revision that is not above the newest are ignored, so that known state
+// never goes back within an incarnation of this process.
 func (t *Table) TakeHalls(s *wire.HallStates, now time.Time) (changed []*wire.HallState) {
 	t.lock()
 	defer t.mu.Unlock()
@@ -31,11 +31,11 @@
 	}
 	t.hallsRevision = s.GetRevision()
 	if t.halls == nil {
-		t.halls = make(map[string]hallView)
+		t.halls = make(map[string]hallStatus)
 	}
 	for _, x := range s.GetHalls() {
 		old := t.halls[x.GetHall()]
-		next := hallView{vacated: x.GetVacated(), openedAt: old.openedAt}
+		next := hallStatus{vacated: x.GetVacated(), openedAt: old.openedAt}
 		if !next.vacated && (old.vacated || old.openedAt.IsZero()) {
 			next.openedAt = now.Add(-time.Duration(x.GetAgeMillis()) * time.Millisecond)
 		}
@@ -44,19 +44,19 @@
 			changed = append(changed, x)
 		}
 	}
-	t.lists = nil
+	t.listCache = nil
 	t.notify()
 	return changed
 }
 
-// HallsRevision returns the revision of the newest states of data halls that were taken.
+// HallsRevision returns the revision of the newest states of data halls that were applied.
 func (t *Table) HallsRevision() uint64 {
 	t.lock()
 	defer t.mu.Unlock()
 	return t.hallsRevision
 }
 
-// Vacated counts the data halls that are vacated.
+// VacatedCount returns the number of vacated data halls.
 func (t *Table) Vacated() int {
 	t.lock()
 	defer t.mu.Unlock()
@@ -69,18 +69,18 @@
 	return n
 }
 
-// OnlyVacated reports whether a service has servers in some halls, nil for all, and all of
-// them are in vacated halls. While the leader may not have heard of all servers yet, since
-// it is new to this follower, that is not known.
+// AllVacated reports whether a service has servers in the given halls, nil for all, and all of
+// these are in vacated halls. It returns false while the leader is new to this follower and may
+// not have heard from all servers yet.
 func (t *Table) OnlyVacated(service string, halls []string, now time.Time) bool {
 	t.lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.wholeAt) < heardOfAll*t.Heartbeat {
+	if now.Sub(t.fullSyncAt) < discoveryHeartbeats*t.Heartbeat {
 		return false
 	}
 	found := false
 	for _, e := range t.entries {
-		if !e.of(service, halls) {
+		if !e.serves(service, halls) {
 			continue
 		}
 		if !t.halls[e.record.GetHall()].vacated {
--- a/internal/registry/leader.go
+++ b/internal/registry/leader.go
@@ -9,57 +9,59 @@
 	"sumachead/api/wire"
 )
 
-// What a keeper does whose table others follow, and which hears the heartbeats.
+// This file holds the operations of the leading keeper, whose table others follow and which
+// receives the heartbeats.
 
-// Lead starts a numbering of its own, under a name that no other leader uses.
-// The servers' ages start anew: this node may not have heard their heartbeats.
+// StartLeading starts a new version history under a name that no other leader uses. The ages of
+// all records start at zero, since this node may not have received the servers' heartbeats.
 func (t *Table) Lead(history string, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	if t.history == history {
 		return
 	}
-	t.history, t.leads, t.leadsSince = history, true, now
-	t.changes, t.trimmed = nil, t.version
+	t.history, t.leading, t.leadingSince = history, true, now
+	t.changes, t.trimmedVersion = nil, t.version
 	for _, e := range t.entries {
-		e.seen = now
+		e.lastSeen = now
 	}
 }
 
-// HeardOfAll reports whether others have followed this table for so long that all servers have
-// told of themselves.
+// HasHeardFromAll reports whether this table has been leading long enough for all servers to
+// have sent a heartbeat.
 func (t *Table) HeardOfAll(now time.Time) bool {
 	t.lock()
 	defer t.mu.Unlock()
-	return t.leads && now.Sub(t.leadsSince) > heardOfAll*t.Heartbeat
+	return t.leading && now.Sub(t.leadingSince) > discoveryHeartbeats*t.Heartbeat
 }
 
-// Beat takes in a heartbeat; one that is older than what is known, or of an earlier life,
-// changes nothing. It reports whether the record's state is new to the table. An error, a
-// [trace.BadParameter], says that it is no server's.
-func (t *Table) Beat(r *wire.ServerRecord, now time.Time) (news bool, err error) {
+// ApplyHeartbeat applies a heartbeat; one that is older than the known record, or of an earlier
+// incarnation, changes nothing. It reports whether the record has changed in what followers
+// use. It returns a [trace.BadParameter] error for a record that no backend server can have
+// sent.
+func (t *Table) Beat(r *wire.ServerRecord, now time.Time) (changed bool, err error) {
 	t.lock()
 	defer t.mu.Unlock()
-	if err := t.check(r); err != nil {
+	if err := t.validate(r); err != nil {
 		return false, err
 	}
-	return t.sort(r, now) && t.beat(r, now), nil
+	return t.admit(r, now) && t.applyHeartbeat(r, now), nil
 }
 
-// beat takes in a heartbeat of a life that counts. The caller holds mu.
-func (t *Table) beat(r *wire.ServerRecord, now time.Time) (news bool) {
+// applyHeartbeat applies a heartbeat of the latest incarnation. The caller holds mu.
+func (t *Table) applyHeartbeat(r *wire.ServerRecord, now time.Time) (changed bool) {
 	e := t.entries[r.GetId()]
 	if e == nil {
 		e = &entry{}
 		t.entries[r.GetId()] = e
 	}
-	if e.record != nil && (e.ended || r.GetSequence() < e.record.GetSequence() || t.isReplaced(e) && r.GetState() == wire.ServerState_SERVER_STATE_READY) {
+	if e.record != nil && (e.superseded || r.GetSequence() < e.record.GetSequence() || t.isReplaced(e) && r.GetState() == wire.ServerState_SERVER_STATE_READY) {
 		return false
 	}
-	before := e.seen
-	e.seen = now
+	before := e.lastSeen
+	e.lastSeen = now
 	next := proto.CloneOf(r)
-	cold := e.takeCold(r, now)
+	cold := e.applyCold(r, now)
 	next.ColdMillis = 0
 	if e.record != nil {
 		next.Version = e.record.GetVersion()
@@ -67,82 +69,83 @@
 			next.State = wire.ServerState_SERVER_STATE_LEAVING
 		}
 	}
-	news = e.record == nil || cold || !sameForFollowers(e.record, next)
-	t.set(e, next)
-	if news {
-		t.bump(next)
+	changed = e.record == nil || cold || !equalForFollowers(e.record, next)
+	t.setRecord(e, next)
+	if changed {
+		t.assignVersion(next)
 	}
-	t.replace(e, before)
-	return news
+	t.silenceReplaced(e, before)
+	return changed
 }
 
-// Refresh takes in a heartbeat that tells nothing but that the server still is as
-// this table knows it; false leaves the table as it was.
+// Refresh applies a heartbeat that reports no change but that the server is alive. It returns
+// false, and leaves the table as it was, for any other.
 func (t *Table) Refresh(r *wire.ServerRecord, now time.Time) bool {
 	t.lock()
 	defer t.mu.Unlock()
 	e := t.entries[r.GetId()]
-	if e == nil || r.GetState() != wire.ServerState_SERVER_STATE_READY || !sameForFollowers(e.record, r) || e.coldNews(r, now) {
+	if e == nil || r.GetState() != wire.ServerState_SERVER_STATE_READY || !equalForFollowers(e.record, r) || e.coldChanged(r, now) {
 		return false
 	}
-	t.alive(e, r.GetSequence(), now)
+	t.recordHeartbeat(e, r.GetSequence(), now)
 	return true
 }
 
-// Alive takes in that servers are as they were, by id and sequence.
+// ApplyAliveReport records heartbeats without changes, by id and sequence.
 func (t *Table) Alive(r *wire.AliveReport, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	for i, id := range r.GetIds() {
 		if e := t.entries[id]; e != nil && i < len(r.GetSequences()) {
-			t.alive(e, r.GetSequences()[i], now)
+			t.recordHeartbeat(e, r.GetSequences()[i], now)
 		}
 	}
 }
 
-// alive notes a heartbeat's time and sequence. One that is older than what is
-// known changes nothing. The caller holds mu.
-func (t *Table) alive(e *entry, sequence uint64, now time.Time) {
+// recordHeartbeat records the time and sequence of a heartbeat. One that is older than the
+// known record changes nothing. The caller holds mu.
+func (t *Table) recordHeartbeat(e *entry, sequence uint64, now time.Time) {
 	if sequence < e.record.GetSequence() || t.isReplaced(e) {
 		return
 	}
-	before := e.seen
-	e.seen = now
+	before := e.lastSeen
+	e.lastSeen = now
 	next := proto.CloneOf(e.record)
 	next.Sequence = sequence
-	t.set(e, next)
+	t.setRecord(e, next)
 	if next.GetState() == wire.ServerState_SERVER_STATE_SILENT {
 		t.setState(e, wire.ServerState_SERVER_STATE_READY)
 	}
-	t.replace(e, before)
+	t.silenceReplaced(e, before)
 }
 
-// Sweep marks servers that have gone silent and forgets lives that ended long
-// ago. Only a leader, which hears the heartbeats, calls it.
+// Sweep marks silent servers and drops incarnations from which nothing was heard for long. Only
+// the leader, which receives the heartbeats, calls it.
 func (t *Table) Sweep(now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		age := now.Sub(e.seen)
-		if age > forgetAfter {
+		age := now.Sub(e.lastSeen)
+		if age > recordRetention {
 			t.drop(id)
 			continue
 		}
-		if e.record.GetState() == wire.ServerState_SERVER_STATE_READY && age > silentBeats*t.Heartbeat {
+		if e.record.GetState() == wire.ServerState_SERVER_STATE_READY && age > maxMissedHeartbeats*t.Heartbeat {
 			t.setState(e, wire.ServerState_SERVER_STATE_SILENT)
 		}
 	}
 }
 
-// Since returns what a follower lacks that has a version of a history, and a
-// channel that is closed at the next change. The records must not be changed.
+// ChangesSince returns the changes since a version of a history, or all records if the changes
+// are not known, and a channel that is closed at the next change. The records must not be
+// changed.
 func (t *Table) Since(history string, version uint64) (r *wire.FollowReply, changed <-chan struct{}) {
 	t.lock()
 	defer t.mu.Unlock()
-	r = &wire.FollowReply{History: t.history, Version: t.version, Whole: history != t.history || version > t.version || version < t.trimmed}
+	r = &wire.FollowReply{History: t.history, Version: t.version, Whole: history != t.history || version > t.version || version < t.trimmedVersion}
 	if r.Whole {
 		for _, e := range t.entries {
-			r.Servers = append(r.Servers, e.told(time.Now()))
+			r.Servers = append(r.Servers, e.forFollowers(time.Now()))
 		}
 		return r, t.changed
 	}
@@ -151,14 +154,14 @@
 			break
 		}
 		if e := t.entries[c.id]; e != nil && e.record.GetVersion() == c.version {
-			r.Servers = append(r.Servers, e.told(time.Now()))
+			r.Servers = append(r.Servers, e.forFollowers(time.Now()))
 		}
 	}
 	return r, t.changed
 }
 
-// sameForFollowers reports whether two records tell followers the same.
-func sameForFollowers(a, b *wire.ServerRecord) bool {
+// equalForFollowers reports whether two records are equal in all that followers use.
+func equalForFollowers(a, b *wire.ServerRecord) bool {
 	return a.GetState() == b.GetState() && a.GetAddress() == b.GetAddress() &&
 		a.GetService() == b.GetService() && a.GetSlots() == b.GetSlots() && a.GetHall() == b.GetHall() && a.GetSoftware() == b.GetSoftware()
 }
--- a/internal/registry/lives.go
+++ b/internal/registry/lives.go
@@ -7,61 +7,62 @@
 	"sumachead/api/wire"
 )
 
-// A server that crashes and starts again registers as another life at the same address, and
-// heartbeats of the earlier one may still be on their way: a cut can delay them by seconds.
-// At most one of the lives of an address runs. The leader takes that for the one which goes
-// on to send heartbeats: a life that has not been heard of since the heartbeat before the
-// last of another one is silent, and one that was replaced so is not brought back by a
-// heartbeat while the other is ready. A single delayed heartbeat so harms nobody, whichever
-// life it is of, and costs a request at most an attempt that the next life rejects.
+// A server that crashes and restarts registers as another incarnation at the same address,
+// while heartbeats of the earlier one may still be in flight: a network partition can delay
+// them by seconds. At most one incarnation at an address is running. The leader assumes that it
+// is the one that keeps sending heartbeats: an incarnation that has not been heard from since
+// the last but one heartbeat of another becomes silent, and a heartbeat does not make a
+// replaced incarnation ready again while the other is ready. A single delayed heartbeat of
+// either incarnation is therefore harmless; it costs a request at most one attempt, which the
+// next incarnation rejects.
 
-// index notes at which address a life is. The caller holds mu.
-func (t *Table) index(e *entry, next *wire.ServerRecord) {
+// indexAddress adds an incarnation to the index by address. The caller holds mu.
+func (t *Table) indexAddress(e *entry, next *wire.ServerRecord) {
 	old := e.record.GetAddress()
 	if old == next.GetAddress() && e.record != nil {
 		return
 	}
-	t.unindex(e.record)
-	if t.lives == nil {
-		t.lives = make(map[string][]string)
+	t.unindexAddress(e.record)
+	if t.idsByAddress == nil {
+		t.idsByAddress = make(map[string][]string)
 	}
-	t.lives[next.GetAddress()] = append(t.lives[next.GetAddress()], next.GetId())
+	t.idsByAddress[next.GetAddress()] = append(t.idsByAddress[next.GetAddress()], next.GetId())
 }
 
-// unindex takes a life off its address. The caller holds mu.
-func (t *Table) unindex(r *wire.ServerRecord) {
+// unindexAddress removes an incarnation from the index by address. The caller holds mu.
+func (t *Table) unindexAddress(r *wire.ServerRecord) {
 	if r == nil {
 		return
 	}
-	left := slices.DeleteFunc(t.lives[r.GetAddress()], func(id string) bool { return id == r.GetId() })
+	left := slices.DeleteFunc(t.idsByAddress[r.GetAddress()], func(id string) bool { return id == r.GetId() })
 	if len(left) == 0 {
-		delete(t.lives, r.GetAddress())
+		delete(t.idsByAddress, r.GetAddress())
 		return
 	}
-	t.lives[r.GetAddress()] = left
+	t.idsByAddress[r.GetAddress()] = left
 }
 
-// isReplaced reports whether a heartbeat of a life counts for nothing, since another one
-// has taken its address. The caller holds mu.
+// isReplaced reports whether heartbeats of an incarnation are ignored because another one has
+// taken its address. The caller holds mu.
 func (t *Table) isReplaced(e *entry) bool {
-	return e.replaced && slices.ContainsFunc(t.lives[e.record.GetAddress()], func(id string) bool {
+	return e.replaced && slices.ContainsFunc(t.idsByAddress[e.record.GetAddress()], func(id string) bool {
 		other := t.entries[id]
 		return other != e && other.record.GetState() == wire.ServerState_SERVER_STATE_READY
 	})
 }
 
-// replace silences the lives at an entry's address that were not heard of since its
-// heartbeat before the last, which came at a time; zero for none. Only a leader hears all
-// heartbeats. The caller holds mu.
-func (t *Table) replace(e *entry, before time.Time) {
+// silenceReplaced marks as silent the incarnations at an entry's address that were not heard
+// from since before, the time of the entry's last but one heartbeat; zero if there was none. It
+// does so only at the leader, which receives all heartbeats. The caller holds mu.
+func (t *Table) silenceReplaced(e *entry, before time.Time) {
 	e.replaced = false
 	address := e.record.GetAddress()
-	if !t.leads || before.IsZero() || address == "" {
+	if !t.leading || before.IsZero() || address == "" {
 		return
 	}
-	for _, id := range t.lives[address] {
+	for _, id := range t.idsByAddress[address] {
 		other := t.entries[id]
-		if other == e || other.record.GetState() != wire.ServerState_SERVER_STATE_READY || !other.seen.Before(before) {
+		if other == e || other.record.GetState() != wire.ServerState_SERVER_STATE_READY || !other.lastSeen.Before(before) {
 			continue
 		}
 		other.replaced = true
--- a/internal/registry/names.go
+++ b/internal/registry/names.go
@@ -9,125 +9,130 @@
 	"sumachead/api/wire"
 )
 
-// A server may start again under the name that it had. Each start is a life of its own; the
-// one that started last goes on, whatever comes late of the others and at whichever address,
-// and the earlier one is over at once.
+// A server may restart under its earlier name. Each start is a new incarnation; the one that
+// started last is current, whatever arrives late from the others and whatever its address, and
+// earlier ones are superseded at once.
 //
-// Starts are told by the clocks of hosts, which may step back: a life would then be taken for
-// an earlier one for good. So the life that started last is over also where nothing was heard
-// of it while another life of its name went on to send heartbeats for as long as after which a
-// server counts as silent. Heartbeats of an earlier life that come late do not last that long.
+// Start times are read from the clocks of hosts, which may step back; the current incarnation
+// would then be considered an earlier one forever. Therefore the incarnation that started last
+// is also superseded if nothing was heard from it while another incarnation of its name kept
+// sending heartbeats for as long as it takes a server to count as silent. Late heartbeats of an
+// earlier incarnation do not continue for that long.
 
-// rival is a life that seems to have started before the one that goes on.
-type rival struct {
-	// since is when it was first heard of, with the sequence it had then.
-	since    time.Time
-	sequence uint64
+// contender is an incarnation that reports an earlier start than the current one, but may have
+// replaced it.
+type contender struct {
+	// firstSeen is when its first heartbeat arrived, and sequence is that of the heartbeat.
+	firstSeen time.Time
+	sequence  uint64
 }
 
-// mostRivals bounds the lives of which it is not yet known whether they go on.
-const mostRivals = 256
+// maxContenders limits the number of contenders.
+const maxContenders = 256
 
-// Check returns a [trace.BadParameter] error for a record that is no server's.
+// Validate returns a [trace.BadParameter] error for a record that no backend server can have
+// sent.
 func (t *Table) Check(r *wire.ServerRecord) error {
 	t.lock()
 	defer t.mu.Unlock()
-	return t.check(r)
+	return t.validate(r)
 }
 
-// check is Check. The caller holds mu.
-func (t *Table) check(r *wire.ServerRecord) error {
-	last := t.entries[t.names[Name(r)]]
+// validate implements Validate. The caller holds mu.
+func (t *Table) validate(r *wire.ServerRecord) error {
+	last := t.entries[t.latestByName[Name(r)]]
 	switch {
 	case r.GetBornUnixMillis() != 0 || r.GetAddress() == "":
 		return nil
 	case last != nil && last.record.GetBornUnixMillis() != 0:
 		return trace.BadParameter("it tells no start, as this server did before")
-	case last == nil && t.toldMostly(r.GetService()):
+	case last == nil && t.mostReportStart(r.GetService()):
 		return trace.BadParameter("it tells no start, as the other servers of its service do")
 	}
 	return nil
 }
 
-// sort reports whether a heartbeat counts, which may be of a server with several lives, and
-// ends the lives before it. The caller holds mu.
-func (t *Table) sort(r *wire.ServerRecord, now time.Time) bool {
-	last := t.entries[t.names[Name(r)]]
+// admit reports whether a heartbeat is of the current incarnation of its server, and supersedes
+// the previous one if the heartbeat's incarnation is newer. The caller holds mu.
+func (t *Table) admit(r *wire.ServerRecord, now time.Time) bool {
+	last := t.entries[t.latestByName[Name(r)]]
 	if last == nil || last.record.GetId() == r.GetId() {
 		return true
 	}
-	if r.GetBornUnixMillis() <= last.record.GetBornUnixMillis() && (t.entries[r.GetId()] != nil || !t.outlasts(r, last, now)) {
+	if r.GetBornUnixMillis() <= last.record.GetBornUnixMillis() && (t.entries[r.GetId()] != nil || !t.isSuccessor(r, last, now)) {
 		return false
 	}
-	t.over(last)
+	t.markSuperseded(last)
 	return true
 }
 
-// toldMostly reports whether most servers of a service tell when they started. The caller
-// holds mu.
-func (t *Table) toldMostly(service string) bool {
-	told, not := 0, 0
+// mostReportStart reports whether most ready servers of a service report their start time. The
+// caller holds mu.
+func (t *Table) mostReportStart(service string) bool {
+	with, without := 0, 0
 	for _, e := range t.entries {
 		switch {
 		case e.record.GetService() != service || e.record.GetState() != wire.ServerState_SERVER_STATE_READY:
 		case e.record.GetBornUnixMillis() != 0:
-			told++
+			with++
 		default:
-			not++
+			without++
 		}
 	}
-	return told > not
+	return with > without
 }
 
-// outlasts reports whether a life that seems to have started earlier goes on, and the last one
-// does not. The caller holds mu.
-func (t *Table) outlasts(r *wire.ServerRecord, last *entry, now time.Time) bool {
-	x, ok := t.rivals[r.GetId()]
-	if !ok || last.seen.After(x.since) {
-		if len(t.rivals) >= mostRivals {
-			clear(t.rivals) // they are found again by their next heartbeats
+// isSuccessor reports whether an incarnation that reports an earlier start has in fact replaced
+// the last one. The caller holds mu.
+func (t *Table) isSuccessor(r *wire.ServerRecord, last *entry, now time.Time) bool {
+	x, ok := t.contenders[r.GetId()]
+	if !ok || last.lastSeen.After(x.firstSeen) {
+		if len(t.contenders) >= maxContenders {
+			clear(t.contenders) // their next heartbeats add them again
 		}
-		if t.rivals == nil {
-			t.rivals = make(map[string]rival)
+		if t.contenders == nil {
+			t.contenders = make(map[string]contender)
 		}
-		t.rivals[r.GetId()] = rival{now, r.GetSequence()}
+		t.contenders[r.GetId()] = contender{now, r.GetSequence()}
 		return false
 	}
-	if r.GetSequence() <= x.sequence || now.Sub(x.since) < silentBeats*t.Heartbeat {
+	if r.GetSequence() <= x.sequence || now.Sub(x.firstSeen) < maxMissedHeartbeats*t.Heartbeat {
 		return false
 	}
-	delete(t.rivals, r.GetId())
+	delete(t.contenders, r.GetId())
 	return true
 }
 
-// over ends a life for good: a later one of its name goes on. The caller holds mu.
-func (t *Table) over(e *entry) {
-	e.ended = true
+// markSuperseded ends an incarnation permanently because a later one of its name is current.
+// The caller holds mu.
+func (t *Table) markSuperseded(e *entry) {
+	e.superseded = true
 	if e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING && e.record.GetOver() {
 		return
 	}
 	t.setState(e, wire.ServerState_SERVER_STATE_LEAVING)
 }
 
-// named notes that a life is the last one of its name. The caller holds mu.
-func (t *Table) named(r *wire.ServerRecord) {
-	if t.names == nil {
-		t.names = make(map[string]string)
+// updateLatest records an incarnation as the latest of its name if it is. The caller holds mu.
+func (t *Table) updateLatest(r *wire.ServerRecord) {
+	if t.latestByName == nil {
+		t.latestByName = make(map[string]string)
 	}
-	last := t.entries[t.names[Name(r)]]
-	if last == nil || last.record == nil || last.record.GetBornUnixMillis() <= r.GetBornUnixMillis() || last.ended {
-		t.names[Name(r)] = r.GetId()
+	last := t.entries[t.latestByName[Name(r)]]
+	if last == nil || last.record == nil || last.record.GetBornUnixMillis() <= r.GetBornUnixMillis() || last.superseded {
+		t.latestByName[Name(r)] = r.GetId()
 	}
 }
 
-// Name returns what all lives of a record's server have in common.
+// ServerName returns the name that all incarnations of a record's server share.
 func Name(r *wire.ServerRecord) string { return cmp.Or(r.GetName(), r.GetId()) }
 
-// Last returns the id of the last life of a server's name; the name where none is known.
+// LatestIncarnation returns the id of the latest incarnation of a server's name, or the name if
+// none is known.
 func (t *Table) Last(name string) string {
 	t.lock()
 	defer t.mu.Unlock()
-	if id, ok := t.names[name]; ok {
+	if id, ok := t.latestByName[name]; ok {
 		return id
 	}
 	return name
--- a/internal/registry/names_test.go
+++ b/internal/registry/names_test.go
@@ -11,9 +11,9 @@
 	"sumachead/api/wire"
 )
 
-// lifeOf returns a record of a life of a server that started at a time; 0 for one that does
-// not tell.
-func lifeOf(name string, born int64, sequence uint64) *wire.ServerRecord {
+// incarnationOf returns the record of an incarnation of a server with a start time, or 0 if it
+// reports none.
+func incarnationOf(name string, born int64, sequence uint64) *wire.ServerRecord {
 	r := &wire.ServerRecord{Id: name, Name: name, Service: "pool", Address: "10.0.0.1:80", Hall: "hall-1", Sequence: sequence, BornUnixMillis: born}
 	if born != 0 {
 		r.Id = fmt.Sprint(name, "@", born)
@@ -21,7 +21,7 @@
 	return r
 }
 
-// usable lists the lives that requests may be sent to.
+// usable lists the incarnations to which requests may be sent.
 func usable(t *Table) (ids []string) {
 	for _, r := range t.Servers("pool", nil) {
 		if r.GetState() == wire.ServerState_SERVER_STATE_READY {
@@ -31,48 +31,48 @@
 	return ids
 }
 
-func TestLivesOfOneName(t *testing.T) {
-	const beat = time.Second
+func TestIncarnationsOfOneName(t *testing.T) {
+	const interval = time.Second
 	start := time.UnixMilli(1_700_000_000_000)
 	type heartbeat struct {
 		after time.Duration
 		r     *wire.ServerRecord
 	}
-	leaving := lifeOf("a", 100, 51)
+	leaving := incarnationOf("a", 100, 51)
 	leaving.State = wire.ServerState_SERVER_STATE_LEAVING
-	moved := lifeOf("a", 200, 1)
+	moved := incarnationOf("a", 200, 1)
 	moved.Address = "10.0.0.2:80"
 	tests := []struct {
 		name  string
 		beats []heartbeat
 		want  []string
 	}{
-		{"a later life with a lower sequence", []heartbeat{{0, lifeOf("a", 100, 50)}, {beat, lifeOf("a", 200, 1)}}, []string{"a@200"}},
-		{"a later life of one that was leaving", []heartbeat{{0, lifeOf("a", 100, 50)}, {beat, leaving}, {2 * beat, lifeOf("a", 200, 1)}}, []string{"a@200"}},
-		{"a later life at another address", []heartbeat{{0, lifeOf("a", 100, 50)}, {beat, moved}}, []string{"a@200"}},
-		{"a heartbeat of the earlier life that comes late", []heartbeat{
-			{0, lifeOf("a", 100, 50)}, {beat, lifeOf("a", 200, 1)}, {beat + 1, lifeOf("a", 100, 51)},
+		{"a later incarnation with a lower sequence", []heartbeat{{0, incarnationOf("a", 100, 50)}, {interval, incarnationOf("a", 200, 1)}}, []string{"a@200"}},
+		{"a later incarnation of a server that was leaving", []heartbeat{{0, incarnationOf("a", 100, 50)}, {interval, leaving}, {2 * interval, incarnationOf("a", 200, 1)}}, []string{"a@200"}},
+		{"a later incarnation at another address", []heartbeat{{0, incarnationOf("a", 100, 50)}, {interval, moved}}, []string{"a@200"}},
+		{"a late heartbeat of the earlier incarnation", []heartbeat{
+			{0, incarnationOf("a", 100, 50)}, {interval, incarnationOf("a", 200, 1)}, {interval + 1, incarnationOf("a", 100, 51)},
 		}, []string{"a@200"}},
-		{"an earlier life that was not known comes late", []heartbeat{
-			{0, lifeOf("a", 200, 1)}, {beat, lifeOf("a", 100, 51)}, {2 * beat, lifeOf("a", 200, 2)}, {3 * beat, lifeOf("a", 100, 52)},
+		{"late heartbeats of an unknown earlier incarnation", []heartbeat{
+			{0, incarnationOf("a", 200, 1)}, {interval, incarnationOf("a", 100, 51)}, {2 * interval, incarnationOf("a", 200, 2)}, {3 * interval, incarnationOf("a", 100, 52)},
 		}, []string{"a@200"}},
-		{"a clock that stepped back between two lives", []heartbeat{
-			{0, lifeOf("a", 200, 50)}, {beat, lifeOf("a", 100, 1)}, {3 * beat, lifeOf("a", 100, 2)}, {beat + silentBeats*beat, lifeOf("a", 100, 3)},
+		{"a clock that stepped back between two incarnations", []heartbeat{
+			{0, incarnationOf("a", 200, 50)}, {interval, incarnationOf("a", 100, 1)}, {3 * interval, incarnationOf("a", 100, 2)}, {interval + maxMissedHeartbeats*interval, incarnationOf("a", 100, 3)},
 		}, []string{"a@100"}},
-		{"the same, while the other life is heard of", []heartbeat{
-			{0, lifeOf("a", 200, 50)}, {beat, lifeOf("a", 100, 1)}, {3 * beat, lifeOf("a", 200, 51)}, {beat + silentBeats*beat, lifeOf("a", 100, 3)},
+		{"a clock that stepped back, while the other incarnation sends heartbeats", []heartbeat{
+			{0, incarnationOf("a", 200, 50)}, {interval, incarnationOf("a", 100, 1)}, {3 * interval, incarnationOf("a", 200, 51)}, {interval + maxMissedHeartbeats*interval, incarnationOf("a", 100, 3)},
 		}, []string{"a@200"}},
-		{"no start is ever told", []heartbeat{{0, lifeOf("a", 0, 1)}, {beat, lifeOf("a", 0, 2)}}, []string{"a"}},
-		{"a start is told from some time on", []heartbeat{{0, lifeOf("a", 0, 9)}, {beat, lifeOf("a", 100, 1)}}, []string{"a@100"}},
-		{"no start any more", []heartbeat{{0, lifeOf("a", 100, 1)}, {beat, lifeOf("a", 0, 9)}}, []string{"a@100"}},
-		{"none, where the service tells starts", []heartbeat{{0, lifeOf("a", 100, 1)}, {beat, lifeOf("b", 0, 9)}}, []string{"a@100"}},
+		{"no start time is ever reported", []heartbeat{{0, incarnationOf("a", 0, 1)}, {interval, incarnationOf("a", 0, 2)}}, []string{"a"}},
+		{"a start time is reported from some heartbeat on", []heartbeat{{0, incarnationOf("a", 0, 9)}, {interval, incarnationOf("a", 100, 1)}}, []string{"a@100"}},
+		{"no start time after one was reported", []heartbeat{{0, incarnationOf("a", 100, 1)}, {interval, incarnationOf("a", 0, 9)}}, []string{"a@100"}},
+		{"no start time where the service's servers report theirs", []heartbeat{{0, incarnationOf("a", 100, 1)}, {interval, incarnationOf("b", 0, 9)}}, []string{"a@100"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			leader := &Table{Heartbeat: beat}
+			leader := &Table{Heartbeat: interval}
 			leader.Lead("1", start)
-			follower := &Table{Heartbeat: beat}
-			next := &Table{Heartbeat: beat} // one that follows, and leads later
+			follower := &Table{Heartbeat: interval}
+			next := &Table{Heartbeat: interval} // follows first, and becomes the leader later
 			now := start
 			for _, b := range tt.beats {
 				now = start.Add(b.after)
@@ -81,12 +81,12 @@
 				}
 				for _, f := range []*Table{follower, next} {
 					history, version := f.Position()
-					answer, _ := leader.Since(history, version)
-					f.Take(answer, now)
+					reply, _ := leader.Since(history, version)
+					f.Take(reply, now)
 				}
 			}
 			next.Lead("2", now)
-			// A heartbeat that came to the other keeper before is told once more.
+			// A heartbeat that the previous leader received is repeated.
 			if _, err := next.Beat(tt.beats[0].r, now); err != nil && !trace.IsBadParameter(err) {
 				t.Fatal(err)
 			}
@@ -99,31 +99,31 @@
 	}
 }
 
-func TestFollowersAreToldOnceThatALifeIsOver(t *testing.T) {
+func TestOnSupersededIsCalledOncePerIncarnation(t *testing.T) {
 	now := time.UnixMilli(1_700_000_000_000)
 	leader := &Table{Heartbeat: time.Second}
 	leader.Lead("1", now)
-	var over []string
-	follower := &Table{Heartbeat: time.Second, OnOver: func(r *wire.ServerRecord) { over = append(over, r.GetId()) }}
+	var superseded []string
+	follower := &Table{Heartbeat: time.Second, OnOver: func(r *wire.ServerRecord) { superseded = append(superseded, r.GetId()) }}
 	for i, born := range []int64{100, 200, 200} {
-		if _, err := leader.Beat(lifeOf("a", born, uint64(i)+1), now); err != nil {
+		if _, err := leader.Beat(incarnationOf("a", born, uint64(i)+1), now); err != nil {
 			t.Fatal(err)
 		}
 		history, version := follower.Position()
-		answer, _ := leader.Since(history, version)
-		follower.Take(answer, now)
+		reply, _ := leader.Since(history, version)
+		follower.Take(reply, now)
 	}
-	if diff := cmp.Diff([]string{"a@100"}, over); diff != "" {
+	if diff := cmp.Diff([]string{"a@100"}, superseded); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
 
-// mustBeat takes in a heartbeat that a server has sent.
-func mustBeat(t *testing.T, table *Table, r *wire.ServerRecord, now time.Time) (news bool) {
+// mustApplyHeartbeat applies a valid heartbeat.
+func mustApplyHeartbeat(t *testing.T, table *Table, r *wire.ServerRecord, now time.Time) (changed bool) {
 	t.Helper()
-	news, err := table.Beat(r, now)
+	changed, err := table.Beat(r, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return news
+	return changed
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,13 +1,13 @@
-// Package registry keeps the backend servers that register by heartbeat: soft
-// state that is spread to all nodes, never logged.
+// Package registry keeps the backend servers that register by heartbeat: soft state that is
+// replicated to all nodes and never written to the log.
 //
-// A [Table] holds one record for each life of a server. At the leader, records
-// get rising versions, by which followers ask for what is new to them; at a
-// follower the same table holds the copy. What a follower learns by itself, as that
-// a server still beats ([Table.Refresh]) or that its life is over ([Table.Leave]),
-// changes its copy without a version. A server that has said it is leaving never
-// becomes ready again in that life. A table may begin with the records of an earlier
-// one ([Table.Load]), which count as silent until their servers are heard of.
+// A [Table] holds one record for each incarnation of a server. At the leader, records get
+// increasing versions, by which followers request the changes since the version they have; at a
+// follower the same table holds the copy. What a follower observes locally, such as that a
+// server still sends heartbeats ([Table.Refresh]) or is leaving ([Table.MarkLeaving]), changes
+// its copy without a new version. A server that has announced that it is leaving never becomes
+// ready again in that incarnation. A table may be initialized with the records of an earlier
+// one ([Table.Restore]), which count as silent until heartbeats of their servers arrive.
 package registry
 
 import (
@@ -21,87 +21,88 @@
 )
 
 const (
-	// silentBeats is how many heartbeats may be missing before a server counts
-	// as silent; some come seconds late.
-	silentBeats = 5
-	// forgetAfter is how long the record of a life that has ended is kept, so
-	// that a heartbeat that comes late does not bring it back.
-	forgetAfter = 2 * time.Minute
-	// forgetOwnAfter is how long a follower keeps what it has found out by itself of a life
-	// that the leader may hold for ready: servers were never seen to leave for so long.
-	forgetOwnAfter = time.Hour
+	// maxMissedHeartbeats is how many heartbeats may be missing before a server counts as
+	// silent; some arrive seconds late.
+	maxMissedHeartbeats = 5
+	// recordRetention is how long the record of an incarnation that has ended is kept, so that
+	// a late heartbeat does not add it again.
+	recordRetention = 2 * time.Minute
+	// localRetention is how long a follower keeps the local observation that an incarnation is
+	// leaving, which the leader may consider ready. No server was seen to take that long to leave.
+	localRetention = time.Hour
 )
 
-// entry is one life of a server.
+// entry is one incarnation of a server.
 type entry struct {
-	record *wire.ServerRecord // replaced, never changed
-	// seen is when the last heartbeat came, or at a follower the record.
-	seen time.Time
-	// coldUntil is until when the server is cold, as far as is known.
+	record *wire.ServerRecord // replaced, never modified
+	// lastSeen is when the last heartbeat arrived, or at a follower the record.
+	lastSeen time.Time
+	// coldUntil is the latest known end of the server's cold time.
 	coldUntil time.Time
-	// replaced: another life at the address goes on, and this one does not.
+	// replaced is set if another incarnation runs at the address instead of this one.
 	replaced bool
-	// ended: a later life of the server's name is known.
-	ended bool
-	// own: this node has found out by itself that the life leaves.
-	own bool
+	// superseded is set if a later incarnation of the server's name is known.
+	superseded bool
+	// leftLocally is set if this node has observed by itself that the incarnation is leaving.
+	leftLocally bool
 }
 
-// Table is a set of server records. It is safe for concurrent use. Set the
-// exported fields before the first call.
+// Table is a set of server records. It is safe for concurrent use. The exported fields must be
+// set before the first call.
 type Table struct {
 	// Heartbeat is the interval at which servers register.
 	Heartbeat time.Duration
-	// OnOver is told of each life that has ended since a later one of its name is known; nil
-	// for nobody. It must not call the table.
+	// OnSuperseded is called for each incarnation that ended because a later one of its name is
+	// known; it may be nil. It must not call the table.
 	OnOver func(*wire.ServerRecord)
 
 	mu sync.Mutex // guards the fields below
-	// entries are by the server's id.
+	// entries maps the ids of incarnations to their entries.
 	entries map[string]*entry
-	// version is the newest that a record got here, or that the leader told of;
-	// history names the leader whose numbering it is.
+	// version is the newest version assigned here or received from the leader, and history
+	// names the leader that assigns versions.
 	version uint64
 	history string
-	// leads: the numbering is this table's own. A follower that learns something by
-	// itself must not number it: it would pass over a change of the leader's.
-	leads bool
-	// leadsSince is since when, where it leads.
-	leadsSince time.Time
-	// changed is closed when a record gets a new version, or comes from the leader.
+	// leading is set if this table assigns the versions. A follower must not assign a version
+	// to what it observes locally, or it would miss the leader's change with that version.
+	leading bool
+	// leadingSince is when the table last started leading.
+	leadingSince time.Time
+	// changed is closed when a record gets a new version or arrives from the leader.
 	changed chan struct{}
-	// changes are the newest changes, oldest first; those up to trimmed are not
-	// kept any more.
-	changes []change
-	trimmed uint64
-	// lists are the records of services as they were last asked for; nil once a record
-	// has changed. Requests ask some hundred times between changes.
-	lists map[listKey][]*wire.ServerRecord
-	// lives are the ids of the lives at each address.
-	lives map[string][]string
-	// names are the ids of the last lives of servers' names, and rivals lives that seem to
-	// have started before these, by their ids.
-	names  map[string]string
-	rivals map[string]rival
-	// halls are the data halls for which there was an order, and hallsRevision is that of
-	// the newest order.
-	halls         map[string]hallView
+	// changes are the newest changes, oldest first; those up to trimmedVersion have been
+	// dropped.
+	changes        []change
+	trimmedVersion uint64
+	// listCache holds the lists of records that were last requested; nil once a record has
+	// changed. Requests need them some hundred times between changes.
+	listCache map[listKey][]*wire.ServerRecord
+	// idsByAddress maps an address to the ids of the incarnations there.
+	idsByAddress map[string][]string
+	// latestByName maps the names of servers to the ids of their latest incarnations, and
+	// contenders holds by id the incarnations that report an earlier start than these.
+	latestByName map[string]string
+	contenders   map[string]contender
+	// halls are the data halls for which an order was given, and hallsRevision is the revision
+	// of the newest order.
+	halls         map[string]hallStatus
 	hallsRevision uint64
-	// rollouts are the newest of services for which there was an order, and rolloutsRevision
-	// is that of the newest change; the messages are replaced, never changed.
+	// rollouts are the newest rollouts of services for which an order was given, and
+	// rolloutsRevision is the revision of the newest change. The messages are replaced, never
+	// modified.
 	rollouts         map[string]*wire.Rollout
 	rolloutsRevision uint64
-	// wholeAt is when a leader last told all of its records.
-	wholeAt time.Time
+	// fullSyncAt is when a leader last sent all of its records.
+	fullSyncAt time.Time
 }
 
-// change says which record got a version.
+// change records which incarnation's record got a version.
 type change struct {
 	version uint64
 	id      string
 }
 
-// lock takes the lock and makes the maps where they are missing.
+// lock acquires mu and initializes the table at the first call.
 func (t *Table) lock() {
 	t.mu.Lock()
 	if t.entries == nil {
@@ -110,27 +111,27 @@
 	}
 }
 
-// set replaces the record of a life. The caller holds mu.
-func (t *Table) set(e *entry, next *wire.ServerRecord) {
-	t.index(e, next)
+// setRecord replaces the record of an incarnation. The caller holds mu.
+func (t *Table) setRecord(e *entry, next *wire.ServerRecord) {
+	t.indexAddress(e, next)
 	e.record = next
-	t.named(next)
-	t.lists = nil
+	t.updateLatest(next)
+	t.listCache = nil
 }
 
-// drop forgets a life. The caller holds mu.
+// drop removes an incarnation. The caller holds mu.
 func (t *Table) drop(id string) {
 	r := t.entries[id].record
-	t.unindex(r)
-	if t.names[Name(r)] == id {
-		delete(t.names, Name(r))
+	t.unindexAddress(r)
+	if t.latestByName[Name(r)] == id {
+		delete(t.latestByName, Name(r))
 	}
 	delete(t.entries, id)
-	t.lists = nil
+	t.listCache = nil
 }
 
-// bump gives a record the next version. The caller holds mu.
-func (t *Table) bump(r *wire.ServerRecord) {
+// assignVersion assigns the next version to a record. The caller holds mu.
+func (t *Table) assignVersion(r *wire.ServerRecord) {
 	t.version++
 	r.Version = t.version
 	t.changes = append(t.changes, change{t.version, r.GetId()})
@@ -138,15 +139,15 @@
 	t.notify()
 }
 
-// trim forgets the older half of the changes when there are more than would save
-// work over telling all records. The caller holds mu.
+// trim drops the older half of the changes once there are so many that sending all records is
+// cheaper. The caller holds mu.
 func (t *Table) trim() {
-	const least = 64
-	if len(t.changes) <= 2*len(t.entries)+least {
+	const minChanges = 64
+	if len(t.changes) <= 2*len(t.entries)+minChanges {
 		return
 	}
 	half := len(t.changes) / 2
-	t.trimmed = t.changes[half-1].version
+	t.trimmedVersion = t.changes[half-1].version
 	t.changes = slices.Clone(t.changes[half:])
 }
 
@@ -157,13 +158,13 @@
 	return t.changed
 }
 
-// notify wakes up those who wait for a change. The caller holds mu.
+// notify wakes the goroutines that wait for a change. The caller holds mu.
 func (t *Table) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Leave marks a server's life as leaving.
+// MarkLeaving marks an incarnation of a server as leaving.
 func (t *Table) Leave(id string, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
@@ -175,11 +176,11 @@
 	if e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING {
 		return
 	}
-	e.seen, e.own = now, true
+	e.lastSeen, e.leftLocally = now, true
 	t.setState(e, wire.ServerState_SERVER_STATE_LEAVING)
 }
 
-// Leaving reports whether a server's life is known to leave.
+// IsLeaving reports whether an incarnation of a server is known to be leaving.
 func (t *Table) Leaving(id string) bool {
 	t.lock()
 	defer t.mu.Unlock()
@@ -187,44 +188,44 @@
 	return e != nil && e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING
 }
 
-// Closed reports whether a server's life is known to get nothing new: it leaves, its data hall
-// is vacated, or its version is not used any more.
+// IsExcluded reports whether an incarnation of a server is known to get no new requests: it is
+// leaving, its data hall is vacated, or its version is no longer used.
 func (t *Table) Closed(id string) bool {
 	t.lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
-	return e != nil && (e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING || t.halls[e.record.GetHall()].vacated || t.useOf(e.record) == useNone)
+	return e != nil && (e.record.GetState() == wire.ServerState_SERVER_STATE_LEAVING || t.halls[e.record.GetHall()].vacated || t.trafficOf(e.record) == trafficNone)
 }
 
-// setState replaces a record by one in another state. The caller holds mu.
+// setState replaces a record by a copy in another state. The caller holds mu.
 func (t *Table) setState(e *entry, s wire.ServerState) {
 	next := proto.CloneOf(e.record)
-	next.State, next.Over = s, e.ended
-	t.set(e, next)
-	if t.leads {
-		t.bump(next)
+	next.State, next.Over = s, e.superseded
+	t.setRecord(e, next)
+	if t.leading {
+		t.assignVersion(next)
 	}
 }
 
-// Servers lists the records of a service to which requests may be sent, in no order: those
-// that leave, those in vacated data halls, and those of versions that are on trial or not used
-// any more are left out. Where halls are named, by their
-// sorted names, only their servers are listed; nil is for all. Neither the list, which is
-// the same until something changes, nor the records must be changed.
+// Servers lists the records of a service to which requests may be sent, in no order. It omits
+// servers that are leaving, those in vacated data halls, and those of canary versions and of
+// versions that are no longer used. If halls, a sorted list of names, is not nil, only their
+// servers are listed. Neither the list, which is cached until something changes, nor the
+// records may be modified.
 func (t *Table) Servers(service string, halls []string) []*wire.ServerRecord {
-	return t.list(service, halls, useAll)
+	return t.list(service, halls, trafficAll)
 }
 
-// of reports whether a server is of a service and in one of some halls, nil for all, and
-// is not known to leave.
-func (e *entry) of(service string, halls []string) bool {
+// serves reports whether a server belongs to a service and to one of the given halls, nil for
+// all, and is not known to be leaving.
+func (e *entry) serves(service string, halls []string) bool {
 	r := e.record
 	return r.GetService() == service && r.GetState() != wire.ServerState_SERVER_STATE_LEAVING &&
 		(halls == nil || slices.Contains(halls, r.GetHall()))
 }
 
-// Known lists the servers that are not known to leave, in no order; the records must
-// not be changed.
+// Records lists the records of servers that are not known to be leaving, in no order. The
+// records must not be modified.
 func (t *Table) Known() []*wire.ServerRecord {
 	t.lock()
 	defer t.mu.Unlock()
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func TestBeats(t *testing.T) {
+func TestHeartbeats(t *testing.T) {
 	tests := []struct {
 		name  string
 		beats []*wire.ServerRecord
@@ -39,13 +39,13 @@
 		{"leaving", []*wire.ServerRecord{record("a", 1, ready), record("a", 2, leaving)}, nil},
 		{"late heartbeat after leaving", []*wire.ServerRecord{record("a", 3, leaving), record("a", 2, ready)}, nil},
 		{"ready again after leaving", []*wire.ServerRecord{record("a", 3, leaving), record("a", 4, ready)}, nil},
-		{"new life at the same address", []*wire.ServerRecord{record("a", 3, leaving), record("b", 1, ready)}, []string{"b"}},
+		{"new incarnation at the same address", []*wire.ServerRecord{record("a", 3, leaving), record("b", 1, ready)}, []string{"b"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			table := &Table{Heartbeat: time.Second}
 			for _, b := range tt.beats {
-				mustBeat(t, table, b, time.Now())
+				mustApplyHeartbeat(t, table, b, time.Now())
 			}
 			if d := cmp.Diff(tt.want, ids(table)); d != "" {
 				t.Fatalf("(-want +got):\n%s", d)
@@ -57,18 +57,18 @@
 func TestSweepMarksSilentServers(t *testing.T) {
 	table := &Table{Heartbeat: time.Second}
 	now := time.Now()
-	mustBeat(t, table, record("a", 1, ready), now)
-	table.Sweep(now.Add(silentBeats*time.Second + time.Millisecond))
+	mustApplyHeartbeat(t, table, record("a", 1, ready), now)
+	table.Sweep(now.Add(maxMissedHeartbeats*time.Second + time.Millisecond))
 	if s := table.Servers("pool", nil)[0].GetState(); s != silent {
 		t.Fatalf("state %s after silence", s)
 	}
-	mustBeat(t, table, record("a", 2, ready), now.Add(time.Minute))
+	mustApplyHeartbeat(t, table, record("a", 2, ready), now.Add(time.Minute))
 	if s := table.Servers("pool", nil)[0].GetState(); s != ready {
 		t.Fatalf("state %s after a heartbeat", s)
 	}
 }
 
-func TestFollowersLearnChangesAndNeverGoBack(t *testing.T) {
+func TestFollowersReceiveChangesAndNeverGoBack(t *testing.T) {
 	leader, follower := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
 	now := time.Now()
 	leader.Lead("one", now)
@@ -76,8 +76,8 @@
 		r, _ := leader.Since(follower.Position())
 		follower.Take(r, now)
 	}
-	mustBeat(t, leader, record("a", 1, ready), now)
-	mustBeat(t, leader, record("b", 1, ready), now)
+	mustApplyHeartbeat(t, leader, record("a", 1, ready), now)
+	mustApplyHeartbeat(t, leader, record("b", 1, ready), now)
 	sync()
 	if d := cmp.Diff([]string{"a", "b"}, ids(follower)); d != "" {
 		t.Fatalf("(-want +got):\n%s", d)
@@ -85,14 +85,14 @@
 	old, _ := leader.Since("", 0)
 	leader.Leave("a", now)
 	sync()
-	follower.Take(old, now) // an answer that was under way before
+	follower.Take(old, now) // a response that was in flight before
 	if d := cmp.Diff([]string{"b"}, ids(follower)); d != "" {
 		t.Fatalf("(-want +got):\n%s", d)
 	}
-	// A new leader that has not heard of b yet.
+	// A new leader that has not heard from b yet.
 	next := &Table{Heartbeat: time.Second}
 	next.Lead("two", now)
-	mustBeat(t, next, record("c", 1, ready), now)
+	mustApplyHeartbeat(t, next, record("c", 1, ready), now)
 	r, _ := next.Since(follower.Position())
 	follower.Take(r, now)
 	if d := cmp.Diff([]string{"c"}, ids(follower)); d != "" {
@@ -100,30 +100,30 @@
 	}
 }
 
-func TestSinceWakesFollowers(t *testing.T) {
+func TestChangesSinceNotifiesFollowers(t *testing.T) {
 	table := &Table{Heartbeat: time.Second}
 	table.Lead("one", time.Now())
-	mustBeat(t, table, record("a", 1, ready), time.Now())
+	mustApplyHeartbeat(t, table, record("a", 1, ready), time.Now())
 	_, changed := table.Since("one", 1)
-	mustBeat(t, table, record("a", 2, ready), time.Now())
+	mustApplyHeartbeat(t, table, record("a", 2, ready), time.Now())
 	select {
 	case <-changed:
-		t.Fatal("woken by a heartbeat that changes nothing")
+		t.Fatal("notified by a heartbeat that changes nothing")
 	default:
 	}
-	mustBeat(t, table, record("a", 3, leaving), time.Now())
+	mustApplyHeartbeat(t, table, record("a", 3, leaving), time.Now())
 	select {
 	case <-changed:
 	default:
-		t.Fatal("not woken by a change")
+		t.Fatal("not notified of a change")
 	}
 }
 
-func TestHeartbeatsThatTellNothingNew(t *testing.T) {
+func TestHeartbeatsWithoutChanges(t *testing.T) {
 	now := time.Now()
 	leader, other := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
 	leader.Lead("one", now)
-	mustBeat(t, leader, record("a", 1, ready), now)
+	mustApplyHeartbeat(t, leader, record("a", 1, ready), now)
 	r, _ := leader.Since(other.Position())
 	other.Take(r, now)
 	tests := []struct {
@@ -140,7 +140,7 @@
 			t.Errorf("%s: %t", tt.name, got)
 		}
 	}
-	late := now.Add(silentBeats*time.Second + time.Millisecond)
+	late := now.Add(maxMissedHeartbeats*time.Second + time.Millisecond)
 	leader.Alive(&wire.AliveReport{Ids: []string{"a", "none"}, Sequences: []uint64{2, 1}}, late)
 	leader.Sweep(late)
 	if s := leader.Servers("pool", nil)[0].GetState(); s != ready {
@@ -148,20 +148,20 @@
 	}
 }
 
-func TestChangesOfAnEarlierReignAreForgotten(t *testing.T) {
+func TestChangesOfAnEarlierTermAreDropped(t *testing.T) {
 	now := time.Now()
 	table := &Table{Heartbeat: time.Second}
 	table.Lead("one", now)
 	for i := range 9 {
-		mustBeat(t, table, record(string(rune('a'+i)), 1, ready), now)
+		mustApplyHeartbeat(t, table, record(string(rune('a'+i)), 1, ready), now)
 	}
-	// Another leads for a while, with a numbering that is not as far.
+	// Another node leads for a while, with lower version numbers.
 	table.Take(&wire.FollowReply{History: "two", Version: 2, Whole: true, Servers: []*wire.ServerRecord{record("x", 1, ready)}}, now)
 	table.Lead("three", now)
-	mustBeat(t, table, record("y", 1, ready), now)
+	mustApplyHeartbeat(t, table, record("y", 1, ready), now)
 	r, _ := table.Since("three", 2)
 	if len(r.GetServers()) != 1 || r.GetServers()[0].GetId() != "y" {
-		t.Fatalf("told %v", r.GetServers())
+		t.Fatalf("got %v", r.GetServers())
 	}
 }
 
@@ -170,7 +170,7 @@
 	now := time.Now()
 	leader.Lead("one", now)
 	for i := range 3 {
-		mustBeat(t, leader, record(string(rune('a'+i)), 1, ready), now)
+		mustApplyHeartbeat(t, leader, record(string(rune('a'+i)), 1, ready), now)
 	}
 	sync := func() *wire.FollowReply {
 		r, _ := leader.Since(follower.Position())
@@ -181,7 +181,7 @@
 	for i := range 300 {
 		b := record("a", uint64(2+i), ready)
 		b.Slots = uint32(i + 1)
-		mustBeat(t, leader, b, now)
+		mustApplyHeartbeat(t, leader, b, now)
 		if i%7 != 0 {
 			continue
 		}
@@ -190,22 +190,22 @@
 		}
 	}
 	if len(leader.changes) > 200 {
-		t.Fatalf("%d changes are kept for 3 records", len(leader.changes))
+		t.Fatalf("%d changes retained for 3 records", len(leader.changes))
 	}
 	r, _ := leader.Since("one", 1)
 	if !r.GetWhole() || len(r.GetServers()) != 3 {
-		t.Fatalf("one far behind gets whole %t, %d records", r.GetWhole(), len(r.GetServers()))
+		t.Fatalf("a follower far behind gets whole %t, %d records", r.GetWhole(), len(r.GetServers()))
 	}
 }
 
-// What a follower learns by itself must not make it pass over a change of the
-// leader's.
-func TestFollowersOwnKnowledgeSkipsNothing(t *testing.T) {
+// A local observation of a follower must not make it miss a change of the leader. A version
+// assigned by the follower itself would.
+func TestLocalObservationSkipsNoLeaderChange(t *testing.T) {
 	now := time.Now()
 	leader, follower := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
 	leader.Lead("h", now)
 	for _, id := range []string{"a", "b"} {
-		mustBeat(t, leader, &wire.ServerRecord{Id: id, Service: "chat", Sequence: 1}, now)
+		mustApplyHeartbeat(t, leader, &wire.ServerRecord{Id: id, Service: "chat", Sequence: 1}, now)
 	}
 	follow := func() {
 		history, version := follower.Position()
@@ -214,7 +214,7 @@
 	}
 	follow()
 	follower.Leave("a", now)
-	mustBeat(t, leader, &wire.ServerRecord{Id: "c", Service: "chat", Sequence: 1}, now)
+	mustApplyHeartbeat(t, leader, &wire.ServerRecord{Id: "c", Service: "chat", Sequence: 1}, now)
 	follow()
 	var got []string
 	for _, r := range follower.Servers("chat", nil) {
@@ -226,14 +226,14 @@
 	}
 }
 
-// Servers that are loaded count as silent until they are heard of.
-func TestLoadedServersAreSilent(t *testing.T) {
+// Restored servers count as silent until their heartbeats arrive.
+func TestRestoredServersAreSilent(t *testing.T) {
 	now := time.Now()
 	table := &Table{Heartbeat: time.Second}
 	table.Leave("gone", now)
 	table.Load([]*wire.ServerRecord{{Id: "gone", Service: "chat"}, {Id: "a", Service: "chat", Sequence: 3}, {Id: "b", Service: "chat", Sequence: 3}}, now)
 	table.Lead("h", now)
-	mustBeat(t, table, &wire.ServerRecord{Id: "a", Service: "chat", Sequence: 4}, now)
+	mustApplyHeartbeat(t, table, &wire.ServerRecord{Id: "a", Service: "chat", Sequence: 4}, now)
 	got := make(map[string]wire.ServerState)
 	for _, r := range table.Servers("chat", nil) {
 		got[r.GetId()] = r.GetState()
@@ -244,20 +244,21 @@
 	}
 }
 
-// A heartbeat that a cut has delayed comes after its sender has crashed and another life has
-// registered at the address. It must neither bring the crashed life back nor harm the next.
-func TestDelayedHeartbeatOfACrashedLife(t *testing.T) {
-	const every = time.Second
+// A heartbeat that a network partition has delayed arrives after its sender has crashed and
+// another incarnation has registered at the address. It must neither bring the crashed
+// incarnation back nor harm the next one.
+func TestDelayedHeartbeatOfACrashedIncarnation(t *testing.T) {
+	const interval = time.Second
 	type event struct {
 		at   time.Duration
 		beat *wire.ServerRecord
-		// passed: a keeper in contact has passed the heartbeat on, with others.
-		passed bool
+		// forwarded is set if another keeper has forwarded the heartbeat in an alive report.
+		forwarded bool
 	}
 	beat := func(at time.Duration, id string, sequence uint64) event {
 		return event{at, record(id, sequence, ready), false}
 	}
-	passed := func(at time.Duration, id string, sequence uint64) event {
+	forwarded := func(at time.Duration, id string, sequence uint64) event {
 		return event{at, record(id, sequence, ready), true}
 	}
 	tests := []struct {
@@ -266,53 +267,53 @@
 		want   map[string]wire.ServerState
 	}{
 		{
-			"a quick restart: the old life is silent after two heartbeats of the new one",
+			"a quick restart: the old incarnation is silent after two heartbeats of the new one",
 			[]event{beat(0, "old", 7), beat(300, "new", 1), beat(1300, "new", 2)},
 			map[string]wire.ServerState{"old": silent, "new": ready},
 		},
 		{
-			"a delayed one does not revive what was replaced",
+			"a delayed heartbeat does not make a replaced incarnation ready",
 			[]event{beat(0, "old", 7), beat(300, "new", 1), beat(1300, "new", 2), beat(1800, "old", 8)},
 			map[string]wire.ServerState{"old": silent, "new": ready},
 		},
 		{
-			"also where a keeper passes it on",
-			[]event{beat(0, "old", 7), beat(300, "new", 1), passed(1300, "new", 2), passed(1800, "old", 8)},
+			"a delayed heartbeat forwarded by a keeper does not either",
+			[]event{beat(0, "old", 7), beat(300, "new", 1), forwarded(1300, "new", 2), forwarded(1800, "old", 8)},
 			map[string]wire.ServerState{"old": silent, "new": ready},
 		},
 		{
-			"one of a life that this leader never heard of does no harm to the next",
+			"a delayed heartbeat of an incarnation unknown to this leader does not affect the next one",
 			[]event{beat(0, "new", 1), beat(500, "old", 8)},
 			map[string]wire.ServerState{"old": ready, "new": ready},
 		},
 		{
-			"and is silent after two heartbeats",
+			"an unknown earlier incarnation is silent after two heartbeats of the next one",
 			[]event{beat(0, "new", 1), beat(500, "old", 8), beat(1000, "new", 2), beat(2000, "new", 3)},
 			map[string]wire.ServerState{"old": silent, "new": ready},
 		},
 		{
-			"it counts again where the other life is over",
+			"a replaced incarnation is ready again once the other one is leaving",
 			[]event{beat(0, "old", 7), beat(300, "new", 1), beat(1300, "new", 2), {1400, record("new", 3, leaving), false}, beat(1800, "old", 8)},
 			map[string]wire.ServerState{"old": ready, "new": leaving},
 		},
 		{
-			"a leader that has just begun has heard nobody, and silences nobody",
+			"a single heartbeat of the new incarnation silences nobody",
 			[]event{beat(0, "old", 7), beat(300, "new", 1)},
 			map[string]wire.ServerState{"old": ready, "new": ready},
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			begun := time.Now()
-			table := &Table{Heartbeat: every}
-			table.Lead("history", begun)
+			start := time.Now()
+			table := &Table{Heartbeat: interval}
+			table.Lead("history", start)
 			for _, e := range tt.events {
-				now := begun.Add(e.at * time.Millisecond)
-				if e.passed {
+				now := start.Add(e.at * time.Millisecond)
+				if e.forwarded {
 					table.Alive(&wire.AliveReport{Ids: []string{e.beat.GetId()}, Sequences: []uint64{e.beat.GetSequence()}}, now)
 					continue
 				}
-				mustBeat(t, table, e.beat, now)
+				mustApplyHeartbeat(t, table, e.beat, now)
 			}
 			got := make(map[string]wire.ServerState)
 			for id, e := range table.entries {
@@ -325,26 +326,26 @@
 	}
 }
 
-// What a follower has found out by itself of a life outlasts what its leader says of it, also
-// where the leader holds it for ready.
-func TestOwnKnowledgeOfLeavingIsKept(t *testing.T) {
+// A follower's local observation that an incarnation is leaving is kept, also while its leader
+// lists the incarnation as ready.
+func TestLocalObservationOfLeavingIsKept(t *testing.T) {
 	now := time.Now()
 	lists := func(s ...*wire.ServerRecord) *wire.FollowReply {
 		return &wire.FollowReply{Whole: true, History: "h", Version: 1, Servers: s}
 	}
 	steps := []struct {
-		name   string
-		after  time.Duration
-		do     func(t *Table, now time.Time)
-		closed bool
+		name     string
+		after    time.Duration
+		do       func(t *Table, now time.Time)
+		excluded bool
 	}{
-		{"known", 0, func(t *Table, now time.Time) { t.Take(lists(record("a", 1, ready)), now) }, false},
-		{"found to leave", 0, func(t *Table, now time.Time) { t.Leave("a", now) }, true},
+		{"known as ready", 0, func(t *Table, now time.Time) { t.Take(lists(record("a", 1, ready)), now) }, false},
+		{"observed to be leaving", 0, func(t *Table, now time.Time) { t.Leave("a", now) }, true},
 		{"listed as ready", time.Second, func(t *Table, now time.Time) { t.Take(lists(record("a", 2, ready)), now) }, true},
-		{"beats on", time.Second, func(t *Table, now time.Time) { t.Refresh(record("a", 3, ready), now) }, true},
-		{"has answered a check", time.Second, func(t *Table, now time.Time) { t.Confirm("a", time.Time{}, now) }, true},
-		{"listed as ready later", 2 * forgetAfter, func(t *Table, now time.Time) { t.Forget(now); t.Take(lists(record("a", 9, ready)), now) }, true},
-		{"its hall is vacated as well", 0, func(t *Table, now time.Time) {
+		{"sends heartbeats", time.Second, func(t *Table, now time.Time) { t.Refresh(record("a", 3, ready), now) }, true},
+		{"has responded to a health check", time.Second, func(t *Table, now time.Time) { t.Confirm("a", time.Time{}, now) }, true},
+		{"listed as ready later", 2 * recordRetention, func(t *Table, now time.Time) { t.Forget(now); t.Take(lists(record("a", 9, ready)), now) }, true},
+		{"its hall is vacated too", 0, func(t *Table, now time.Time) {
 			t.TakeHalls(&wire.HallStates{Revision: 1, Halls: []*wire.HallState{{Hall: "hall-1", Vacated: true}}}, now)
 		}, true},
 	}
@@ -352,14 +353,14 @@
 	for _, tt := range steps {
 		now = now.Add(tt.after)
 		tt.do(table, now)
-		if got := table.Closed("a"); got != tt.closed {
-			t.Errorf("%s: closed is %v", tt.name, got)
+		if got := table.Closed("a"); got != tt.excluded {
+			t.Errorf("%s: excluded is %v", tt.name, got)
 		}
 	}
 	b := record("b", 1, ready)
 	b.Hall = "hall-1"
 	table.Take(&wire.FollowReply{History: "h", Version: 2, Servers: []*wire.ServerRecord{b}}, now)
 	if !table.Closed("b") || table.Closed("unknown") {
-		t.Error("a server of a vacated hall is open, or one that nobody knows is closed")
+		t.Error("a server of a vacated hall is not excluded, or an unknown one is")
 	}
 }
--- a/internal/registry/versions.go
+++ b/internal/registry/versions.go
@@ -7,25 +7,25 @@
 	"sumachead/api/wire"
 )
 
-// While a service is moved to another version, servers of the target version get requests only
-// as samples; once it has moved, those of the versions before get none, and after it was rolled
-// back those of the target version, until that is ordered again. Without an order all versions are used: servers may be
-// replaced by those of another version without one.
+// During a rollout of a service, servers of the target version get canary requests only; once
+// the service has moved, the replaced versions get no requests, and after a rollback the target
+// version gets none until it is ordered again. Without an order all versions are used, since
+// servers may be replaced by those of another version without a rollout.
 
-// use is what servers of a version are for.
-type use int
+// traffic is the kind of requests that servers of a version get.
+type traffic int
 
 const (
-	useAll use = iota
-	// useSamples: they get samples only.
-	useSamples
-	// useNone: they get nothing new.
-	useNone
+	trafficAll traffic = iota
+	// trafficCanary is canary requests only.
+	trafficCanary
+	// trafficNone is no new requests.
+	trafficNone
 )
 
-// TakeRollouts puts roll-outs in force, and returns those that have changed. Roll-outs with a
-// lower revision than the newest are passed over: what is known never goes back within a life
-// of this process.
+// ApplyRollouts applies rollouts and returns those that have changed. Rollouts with a revision
+// that is not above the newest are ignored, so that known state never goes back within an
+// incarnation of this process.
 func (t *Table) TakeRollouts(s *wire.Rollouts) (changed []*wire.Rollout) {
 	t.lock()
 	defer t.mu.Unlock()
@@ -42,88 +42,89 @@
 		t.rollouts[r.GetService()] = r
 	}
 	t.rolloutsRevision = s.GetRevision()
-	t.lists = nil
+	t.listCache = nil
 	t.notify()
 	return changed
 }
 
-// RolloutsRevision returns the revision of the newest roll-outs that were taken.
+// RolloutsRevision returns the revision of the newest rollouts that were applied.
 func (t *Table) RolloutsRevision() uint64 {
 	t.lock()
 	defer t.mu.Unlock()
 	return t.rolloutsRevision
 }
 
-// useOf returns what a server is for. The caller holds mu.
-func (t *Table) useOf(r *wire.ServerRecord) use {
+// trafficOf returns the kind of requests that a server gets. The caller holds mu.
+func (t *Table) trafficOf(r *wire.ServerRecord) traffic {
 	o := t.rollouts[r.GetService()]
 	if o == nil {
-		return useAll
+		return trafficAll
 	}
 	if slices.Contains(o.GetRejected(), r.GetSoftware()) {
-		return useNone
+		return trafficNone
 	}
 	target := r.GetSoftware() == o.GetTarget()
 	switch o.GetPhase() {
 	case wire.RolloutPhase_ROLLOUT_PHASE_TRIAL:
 		if target {
-			return useSamples
+			return trafficCanary
 		}
 	case wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK:
 		if target {
-			return useNone
+			return trafficNone
 		}
 	default:
 		if slices.Contains(o.GetReplaced(), r.GetSoftware()) {
-			return useNone
+			return trafficNone
 		}
 	}
-	return useAll
+	return trafficAll
 }
 
-// OnTrial lists the servers of a service that get samples only, like Servers.
+// CanaryServers lists the servers of a service that get canary requests only, in the same form
+// as Servers.
 func (t *Table) OnTrial(service string, halls []string) []*wire.ServerRecord {
-	return t.list(service, halls, useSamples)
+	return t.list(service, halls, trafficCanary)
 }
 
-// listKey names a list of records.
+// listKey identifies a list of records in the cache.
 type listKey struct {
 	service string
-	use     use
-	// some: only servers of the halls named are listed.
-	some  bool
-	halls string
+	traffic traffic
+	// filtered is set if only servers of the given halls are listed.
+	filtered bool
+	halls    string
 }
 
-// list lists the servers of a service that are for a use.
-func (t *Table) list(service string, halls []string, u use) []*wire.ServerRecord {
+// list lists the servers of a service that get a kind of requests.
+func (t *Table) list(service string, halls []string, k traffic) []*wire.ServerRecord {
 	t.lock()
 	defer t.mu.Unlock()
-	key := listKey{service, u, halls != nil, strings.Join(halls, ",")}
-	if out, ok := t.lists[key]; ok {
+	key := listKey{service, k, halls != nil, strings.Join(halls, ",")}
+	if out, ok := t.listCache[key]; ok {
 		return out
 	}
 	var out []*wire.ServerRecord
 	for _, e := range t.entries {
-		if e.of(service, halls) && !t.halls[e.record.GetHall()].vacated && t.useOf(e.record) == u {
+		if e.serves(service, halls) && !t.halls[e.record.GetHall()].vacated && t.trafficOf(e.record) == k {
 			out = append(out, e.record)
 		}
 	}
-	if t.lists == nil {
-		t.lists = make(map[listKey][]*wire.ServerRecord)
+	if t.listCache == nil {
+		t.listCache = make(map[listKey][]*wire.ServerRecord)
 	}
-	t.lists[key] = out
+	t.listCache[key] = out
 	return out
 }
 
-// Versions returns the slots of a service's servers that are ready, by their version; those of
-// which nothing is known but that they are silent count with none.
+// SlotsByVersion returns the slots of a service's ready servers by version. Silent servers are
+// included with no slots.
 func (t *Table) Versions(service string) map[string]uint32 {
 	t.lock()
 	defer t.mu.Unlock()
 	out := make(map[string]uint32)
 	for _, e := range t.entries {
-		if !e.of(service, nil) {
+		if !e.serves(service, nil) {
 			continue
 		}
 		slots := e.record.GetSlots()
