--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,8 +1,7 @@
-// Package catalog turns a declared catalogue of routes, services and workspaces
-// into an immutable [View] that answers the questions a router asks of it:
-// which route a host and path have, whose key this is, what a service allows.
-// [Check] refuses a catalogue that can't be used; [Pack] and [Unpack] turn a
-// declaration into what is stored and sent, and back.
+// Package catalog turns a declared catalog of routes, services and workspaces into an immutable
+// [View] that routers query: the route of a host and path, the workspace of a key, the settings
+// of a service. [Validate] rejects a catalog that cannot be used; [Pack] and [Unpack] convert a
+// declaration to and from the form in which it is stored and sent.
 package catalog
 
 import (
@@ -17,23 +16,23 @@
 	"sumachead/api/wire"
 )
 
-// View is a declaration, prepared for look-ups. It is immutable.
+// View is a declaration indexed for lookups. It is immutable.
 type View struct {
-	// Number is the declaration's.
+	// Number is the number of the declaration.
 	Number  uint64
 	Catalog *wire.Catalog
-	// FingerprintKey is the fleet's key for fingerprints of requests.
+	// FingerprintKey is the fleet's key for request fingerprints.
 	FingerprintKey []byte
 
-	// routes of each host in lower case, longest prefix first.
+	// routes maps hosts in lower case to their routes, longest prefix first.
 	routes map[string][]*wire.Route
-	// keys are the workspaces by each of their keys.
+	// keys maps keys to their workspaces.
 	keys map[string]*wire.WorkspaceAccess
-	// services are by name.
+	// services maps names to services.
 	services map[string]*wire.Service
 }
 
-// Check reports what makes a catalogue unusable as a [trace.BadParameter] error.
+// Validate returns a [trace.BadParameter] error if a catalog cannot be used.
 func Check(c *wire.Catalog) error {
 	services := make(map[string]bool)
 	for _, s := range c.GetServices() {
@@ -42,22 +41,22 @@
 		}
 		services[s.GetName()] = true
 	}
-	places := make(map[string]string)
+	routeNames := make(map[string]string)
 	for _, r := range c.GetRoutes() {
-		if err := checkRoute(r, services); err != nil {
+		if err := validateRoute(r, services); err != nil {
 			return err
 		}
-		place := strings.ToLower(r.GetHost()) + r.GetPathPrefix()
-		if other, ok := places[place]; ok {
+		prefix := strings.ToLower(r.GetHost()) + r.GetPathPrefix()
+		if other, ok := routeNames[prefix]; ok {
 			return trace.BadParameter("routes %q and %q share host and prefix", other, r.GetName())
 		}
-		places[place] = r.GetName()
+		routeNames[prefix] = r.GetName()
 	}
-	return checkWorkspaces(c.GetWorkspaces())
+	return validateWorkspaces(c.GetWorkspaces())
 }
 
-// checkRoute checks one route against the names of services.
-func checkRoute(r *wire.Route, services map[string]bool) error {
+// validateRoute validates one route; services holds the names of the declared services.
+func validateRoute(r *wire.Route, services map[string]bool) error {
 	if r.GetHost() == "" {
 		return trace.BadParameter("route %q: the host is missing", r.GetName())
 	}
@@ -80,8 +79,8 @@
 	return nil
 }
 
-// checkWorkspaces checks names, budgets and keys; no two workspaces share one.
-func checkWorkspaces(ws []*wire.WorkspaceAccess) error {
+// validateWorkspaces validates names, budgets and keys; no two workspaces may share a key.
+func validateWorkspaces(ws []*wire.WorkspaceAccess) error {
 	names := make(map[string]bool)
 	owners := make(map[string]string)
 	for _, w := range ws {
@@ -102,7 +101,7 @@
 	return nil
 }
 
-// NewView prepares a declaration that passed [Check].
+// NewView indexes a declaration that passed [Validate].
 func NewView(d *wire.Declaration) *View {
 	v := &View{
 		Number: d.GetNumber(), Catalog: d.GetCatalog(), FingerprintKey: d.GetFingerprintKey(),
@@ -129,7 +128,7 @@
 	return v
 }
 
-// Route returns the route of a host and path; nil for none.
+// Route returns the route of a host and path, or nil if there is none.
 func (v *View) Route(host, path string) *wire.Route {
 	for _, r := range v.routes[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.GetPathPrefix()) {
@@ -139,13 +138,13 @@
 	return nil
 }
 
-// Authenticate returns the workspace that a key belongs to; nil for none.
+// Authenticate returns the workspace that a key belongs to, or nil if there is none.
 func (v *View) Authenticate(key string) *wire.WorkspaceAccess { return v.keys[key] }
 
-// Service returns a service; nil for none.
+// Service returns the service with a name, or nil if there is none.
 func (v *View) Service(name string) *wire.Service { return v.services[name] }
 
-// Pick draws one of a route's services by the weights of its shares.
+// PickService picks one of a route's services at random, weighted by the route's shares.
 func Pick(r *wire.Route) string {
 	shares := r.GetShares()
 	if len(shares) == 1 {
@@ -164,7 +163,7 @@
 	return shares[len(shares)-1].GetService()
 }
 
-// Totals returns the workspaces' budgets; one without a limit is left out.
+// Budgets returns the budgets of the workspaces, without those that have no limit.
 func Totals(c *wire.Catalog) map[sumachead.WorkspaceID]sumachead.Tokens {
 	totals := make(map[sumachead.WorkspaceID]sumachead.Tokens)
 	for _, w := range c.GetWorkspaces() {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -10,7 +10,7 @@
 	"sumachead/api/wire"
 )
 
-func sound() *wire.Catalog {
+func validCatalog() *wire.Catalog {
 	return &wire.Catalog{
 		Services: []*wire.Service{{Name: "pool"}, {Name: "api"}},
 		Routes: []*wire.Route{
@@ -25,33 +25,33 @@
 
 func TestCheck(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(*wire.Catalog)
-		bad   bool
+		name    string
+		modify  func(*wire.Catalog)
+		wantErr bool
 	}{
-		{"sound", func(*wire.Catalog) {}, false},
+		{"valid", func(*wire.Catalog) {}, false},
 		{"unknown service", func(c *wire.Catalog) { c.Routes[0].Shares[0].Service = "none" }, true},
-		{"same place", func(c *wire.Catalog) { c.Routes[1].PathPrefix = "/a/" }, true},
-		{"same place, other case of the host", func(c *wire.Catalog) { c.Routes[1].PathPrefix, c.Routes[1].Host = "/a/", "H.example" }, true},
+		{"same host and prefix", func(c *wire.Catalog) { c.Routes[1].PathPrefix = "/a/" }, true},
+		{"same host and prefix, other case of the host", func(c *wire.Catalog) { c.Routes[1].PathPrefix, c.Routes[1].Host = "/a/", "H.example" }, true},
 		{"no weight", func(c *wire.Catalog) { c.Routes[0].Shares[0].Weight = 0 }, true},
-		{"no time-out", func(c *wire.Catalog) { c.Routes[0].TimeoutMillis = 0 }, true},
+		{"no timeout", func(c *wire.Catalog) { c.Routes[0].TimeoutMillis = 0 }, true},
 		{"prefix without slash", func(c *wire.Catalog) { c.Routes[0].PathPrefix = "/a" }, true},
 		{"shared key", func(c *wire.Catalog) { c.Workspaces[1].Keys = []string{"k1"} }, true},
-		{"key twice at one workspace", func(c *wire.Catalog) { c.Workspaces[1].Keys = []string{"k3", "k3"} }, false},
+		{"same key twice in one workspace", func(c *wire.Catalog) { c.Workspaces[1].Keys = []string{"k3", "k3"} }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := sound()
-			tt.spoil(c)
-			if err := Check(c); trace.IsBadParameter(err) != tt.bad {
-				t.Fatalf("got %v, want an error: %t", err, tt.bad)
+			c := validCatalog()
+			tt.modify(c)
+			if err := Check(c); trace.IsBadParameter(err) != tt.wantErr {
+				t.Fatalf("got %v, want an error: %t", err, tt.wantErr)
 			}
 		})
 	}
 }
 
 func TestView(t *testing.T) {
-	v := NewView(&wire.Declaration{Number: 7, Catalog: sound()})
+	v := NewView(&wire.Declaration{Number: 7, Catalog: validCatalog()})
 	tests := []struct{ host, path, want string }{
 		{"h.example", "/a/x", "short"},
 		{"H.EXAMPLE", "/a/b/x", "long"},
@@ -77,6 +77,6 @@
 		count[Pick(r)]++
 	}
 	if count["c"] != 0 || count["b"] < 700 || count["b"] > 1300 {
-		t.Fatalf("drawn %v of weights 9, 1 and 0", count)
+		t.Fatalf("picked %v for weights 9, 1 and 0", count)
 	}
 }
--- a/internal/catalog/pack.go
+++ b/internal/catalog/pack.go
@@ -11,11 +11,11 @@
 	"sumachead/api/wire"
 )
 
-// packLevel trades a keeper's processor time, a few times a minute at most,
-// against bytes that go to every node.
-const packLevel = 5
+// compressionLevel trades CPU time of a keeper, spent at most a few times a minute, for fewer
+// bytes sent to every node.
+const compressionLevel = 5
 
-// Pack returns a declaration as it is stored and sent.
+// Pack returns a declaration in the form in which it is stored and sent.
 func Pack(d *wire.Declaration) (*wire.PackedDeclaration, error) {
 	data, err := proto.Marshal(d.GetCatalog())
 	if err != nil {
@@ -29,7 +29,7 @@
 	return p, err
 }
 
-// Unpack returns the declaration without its document.
+// Unpack returns a packed declaration without its source document.
 func Unpack(p *wire.PackedDeclaration) (*wire.Declaration, error) {
 	data, err := inflate(p.GetCatalog())
 	if err != nil {
@@ -45,7 +45,7 @@
 // deflate compresses data.
 func deflate(data []byte) ([]byte, error) {
 	var b bytes.Buffer
-	w, err := flate.NewWriter(&b, packLevel)
+	w, err := flate.NewWriter(&b, compressionLevel)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -58,7 +58,7 @@
 	return b.Bytes(), nil
 }
 
-// inflate returns what was deflated; nothing for nothing.
+// inflate decompresses data; empty data results in nil.
 func inflate(data []byte) ([]byte, error) {
 	if len(data) == 0 {
 		return nil, nil
