--- a/callers.go
+++ b/callers.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// RequestID names one request of a caller. A caller that tries again draws
-// another.
+// RequestID identifies one request of a caller. A retry by the caller has a new id.
 type RequestID string
 
 // PromptPart is a part of a prompt that other prompts may share.
@@ -15,104 +14,104 @@
 	Tokens Tokens
 }
 
-// CallerRequest is a caller's request, read whole and decoded.
+// CallerRequest is a caller's request, completely read and decoded.
 type CallerRequest struct {
 	ID     RequestID
 	Method string
 	Host   string
-	// Path and Query are as they came, escaped.
+	// Path and Query are the escaped forms received from the caller.
 	Path  string
 	Query string
-	// Header is what goes on to the backend server as it came.
+	// Header is the header that is forwarded unchanged to the backend server.
 	Header http.Header
 	Body   []byte
-	// Key names the workspace; empty for none.
+	// Key identifies the workspace; empty if the request has no key.
 	Key string
-	// Deadline is until when the caller waits; zero for no word of it.
+	// Deadline is the time until which the caller waits; zero if the caller did not specify it.
 	Deadline time.Time
-	// PromptTokens and AnswerTokens are the size of the prompt and the most
-	// that may be answered; 0 where tokens are not counted.
+	// PromptTokens is the size of the prompt and MaxOutputTokens the maximum size of the
+	// response; both are 0 where tokens are not counted.
 	PromptTokens Tokens
 	AnswerTokens Tokens
 	// Parts are the prompt's parts in order.
 	Parts []PromptPart
-	// LastEvent is the event after which a stream is to go on; empty for the
-	// start.
+	// LastEvent is the event after which a stream is to be resumed; empty to start from the
+	// beginning.
 	LastEvent string
 }
 
-// CallerAnswer takes the answer to one request. Calls do not overlap.
+// CallerResponse receives the response to one request. Calls do not overlap.
 type CallerAnswer interface {
-	// Start sends the head. A size below 0 means that the answer's end is not
-	// known yet. What the caller has not taken by until is not written any more:
-	// the write fails.
+	// Start sends the status and header. A size below 0 means that the length of the body is
+	// not known yet. Writes of data that the caller has not received by until fail.
 	Start(status int, header http.Header, size int, until time.Time)
-	// Write sends a part of the body at once.
+	// Write sends a part of the body immediately.
 	Write(part []byte) error
 }
 
-// Attempt is what a backend server is told beside the caller's request.
+// Attempt is what a backend server is sent in addition to the caller's request.
 type Attempt struct {
 	Server    ServerID
 	Workspace WorkspaceID
 	Deadline  time.Time
 	// Urgency is 0 for the most urgent.
 	Urgency uint32
-	// LastEvent goes before the caller's own.
+	// LastEvent takes precedence over that of the caller's request.
 	LastEvent string
-	// FetchFrom is the address of a server that keeps parts of the prompt, which the
-	// server of this attempt may fetch instead of reading them; empty for none.
+	// FetchFrom is the address of a server that has cached parts of the prompt, from which the
+	// server of this attempt may fetch them instead of computing them; empty if there is none.
 	FetchFrom string
 }
 
-// ServerNotice is what a backend server says of itself in an answer, whatever it answers.
+// ServerNotice is what a backend server reports about itself in any response.
 type ServerNotice struct {
-	// Leaving: the server is about to end, and wants nothing new.
+	// Leaving is set if the server is about to shut down and takes no new requests.
 	Leaving bool
-	// RestUntil is until when it wants nothing from this process; zero for no such wish.
+	// BackoffUntil is the time until which the server asks this process to send no requests;
+	// zero if it does not ask.
 	RestUntil time.Time
-	// Limit is the rate of requests that it takes from all routers together; 0 where the
-	// answer names none.
+	// Limit is the maximum rate of requests from all routers together; 0 if the response
+	// specifies none.
 	Limit RequestRate
-	// LimitUnclear: the answer names a limit that can't be read; one that was known holds.
+	// LimitMalformed is set if the response specifies a limit that cannot be parsed; a limit
+	// known before stays in force.
 	LimitUnclear bool
-	// Unreadable is what it says that can't be read, and that counts for nothing; empty
-	// where all can be.
+	// Malformed describes the part of the notice that cannot be parsed and is ignored; empty if there
+	// is none.
 	Unreadable string
 }
 
-// AnswerHead is what the head of a backend server's answer says.
+// ResponseHead is what the status and header of a backend server's response specify.
 type AnswerHead struct {
 	ServerNotice
-	// ID is that of the request it answers; empty when it does not say.
+	// ID identifies the request that is answered; empty if not specified.
 	ID RequestID
-	// NotRun: the server says that it did not run the request and will not.
+	// NotRun is set if the server reports that it did not and will not run the request.
 	NotRun bool
-	// Stale: another server has the address now.
+	// Stale is set if another server has the address now.
 	Stale bool
-	// Failed: the server says that it could not do what was asked.
+	// Failed is set if the server reports that it could not do what was requested.
 	Failed bool
-	// IdleUntil is when the server closes the connection if it rests; zero when
-	// it does not say.
+	// IdleUntil is when the server closes the connection if it is idle; zero if not specified.
 	IdleUntil time.Time
 }
 
-// HealthAnswer is what a backend server answers to a health check.
+// HealthResponse is the response of a backend server to a health check.
 type HealthAnswer struct {
 	ServerNotice
-	// Server is which life of it has answered; empty where it is not well or does not
-	// say.
+	// Server is the incarnation of the server that has responded; empty if it is not healthy or
+	// not specified.
 	Server ServerID
-	// ColdUntil is until when it is cold; zero for a warm one.
+	// ColdUntil is the time until which the server is cold; zero if it is warm.
 	ColdUntil time.Time
 }
 
-// Dialect translates between the product and what backend servers speak.
+// Dialect encodes requests to backend servers and decodes their responses.
 type Dialect interface {
-	// Encode sets what the server is told on the header of a request.
+	// Encode sets the header fields that a backend server is sent with an attempt.
 	Encode(h http.Header, r *CallerRequest, a *Attempt)
-	// Decode reads the head of an answer that came at now.
+	// Decode parses the status and header of a response received at now.
 	Decode(status int, h http.Header, now time.Time) AnswerHead
-	// Health reads the answer to a health check that came at now.
+	// Health parses the response to a health check, received at now.
 	Health(status int, h http.Header, now time.Time) HealthAnswer
 }
--- a/ids.go
+++ b/ids.go
@@ -6,65 +6,66 @@
 )
 
 type (
-	// WorkspaceID names a workspace: one customer of the system.
+	// WorkspaceID identifies a workspace: one customer of the system.
 	WorkspaceID string
-	// BudgetID names a prepaid budget.
+	// BudgetID identifies a prepaid budget.
 	BudgetID string
-	// PoolID names a pool of backend servers that serve the same work.
+	// PoolID identifies a pool of interchangeable backend servers.
 	PoolID string
-	// ServerID names one backend server.
+	// ServerID identifies one backend server.
 	ServerID string
-	// HallID names a data hall.
+	// HallID identifies a data hall.
 	HallID string
-	// RegionID names a region: data halls that are near each other.
+	// RegionID identifies a region: a group of data halls near each other.
 	RegionID string
-	// NodeID names one process of the system.
+	// NodeID identifies one process of the system.
 	NodeID string
-	// BootID names one life of a process; a restart draws a new one.
+	// BootID identifies one incarnation of a process; it changes with each restart.
 	BootID string
-	// RequestKey names a request within its workspace (Idempotency-Key).
+	// RequestKey identifies a request within its workspace (Idempotency-Key).
 	RequestKey string
-	// GroupID names a replicated group of keepers.
+	// GroupID identifies a replicated group of keepers.
 	GroupID string
-	// SessionID names an unbroken history of settings revisions.
+	// SessionID identifies an unbroken history of settings revisions.
 	SessionID string
 )
 
-// Fingerprint tells requests apart by what they ask for and who asks: the workspace, the
-// path and the body. All tries of one request have the same.
+// Fingerprint identifies requests by their content and origin: the workspace, the path and the
+// body. All retries of a request have the same fingerprint.
 type Fingerprint [16]byte
 
-// String returns the form that lines and operators' calls have.
+// String returns the hexadecimal form used in log lines and in operators' calls.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Tokens is an amount of budget. One model token costs one; a plain service's
-// call costs what its pool says.
+// Tokens is an amount of budget. One model token costs one; a call of a plain service costs
+// what its pool specifies.
 type Tokens int64
 
-// Revision numbers the states of the settings tree. It only grows.
+// Revision numbers the states of the settings tree. It only increases.
 type Revision uint64
 
-// AttemptNumber numbers the attempts to run one request. It only grows.
+// AttemptNumber numbers the attempts to run one request. It only increases.
 type AttemptNumber uint32
 
-// RequestRate is in requests a second.
+// RequestRate is a rate in requests per second.
 type RequestRate float64
 
-// Epoch fences orders to a backend server: a lower one is refused.
+// Epoch is the fencing token of orders to a backend server; an order with a lower epoch is
+// refused.
 type Epoch uint64
 
-// Priority orders waiting work; a higher value goes first.
+// Priority orders waiting requests; those with a higher value are first.
 type Priority uint8
 
-// The priorities that callers may ask for.
+// The priorities that callers may request.
 const (
 	PriorityBatch  Priority = 1
 	PriorityNormal Priority = 2
 	PriorityUrgent Priority = 3
 )
 
-// ParsePriority reads the value of the priority header. An empty value means
-// [PriorityNormal]; ok is false for an unknown one.
+// ParsePriority parses the value of the priority header. An empty value means [PriorityNormal];
+// ok is false for an unknown value.
 func ParsePriority(s string) (p Priority, ok bool) {
 	switch s {
 	case "urgent":
--- a/verdict.go
+++ b/verdict.go
@@ -12,16 +12,16 @@
 
 // The verdicts.
 const (
-	// NotRun: the request did not run, and no copy of it will.
+	// NotRun means that the request did not run, and that no copy of it will.
 	NotRun Verdict = "not_run"
-	// MayHaveRun: the request may have run, or may still be running.
+	// MayHaveRun means that the request may have run, or may still be running.
 	MayHaveRun Verdict = "may_have_run"
-	// Ran: the request ran; its answer may be lost.
+	// Ran means that the request ran; its response may be lost.
 	Ran Verdict = "ran"
 )
 
-// Reason says why a request was refused or tried again. The list is closed:
-// each has a counter, and docs/OPERATIONS.md says what to do about it.
+// Reason says why a request was refused or retried. The list is closed: each reason has a
+// counter, and docs/OPERATIONS.md says what to do about it.
 type Reason string
 
 // The reasons.
@@ -76,7 +76,7 @@
 	}
 }
 
-// HTTPStatus returns the status code that carries the reason to a caller.
+// HTTPStatus returns the status code with which a refusal for the reason is sent to a caller.
 func (r Reason) HTTPStatus() int {
 	switch r {
 	case ReasonBadRequest:
@@ -109,13 +109,13 @@
 	return http.StatusServiceUnavailable
 }
 
-// Refusal is the error that ends a request without its whole answer.
+// Refusal is the error that ends a request without a complete response.
 type Refusal struct {
 	Verdict Verdict
 	Reason  Reason
-	// Detail is a short sentence for people.
+	// Detail is a short explanation for people.
 	Detail string
-	// RetryAt is when to come back; zero when coming back will not help.
+	// RetryAt is when the caller should retry; zero if retrying will not help.
 	RetryAt time.Time
 }
 
@@ -124,13 +124,13 @@
 	return fmt.Sprintf("%s (%s): %s", r.Reason, r.Verdict, r.Detail)
 }
 
-// Refuse returns a refusal that tells the caller when to come back.
+// Refuse returns a refusal that tells the caller when to retry.
 func Refuse(v Verdict, r Reason, detail string, retryAt time.Time) *Refusal {
 	return &Refusal{Verdict: v, Reason: r, Detail: detail, RetryAt: retryAt}
 }
 
-// AsRefusal returns err as a refusal. An error of another type may have
-// happened after dispatch, so it becomes [MayHaveRun].
+// AsRefusal returns err as a refusal. An error of another type may have occurred after the
+// request was sent, so its verdict is [MayHaveRun].
 func AsRefusal(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
