--- a/internal/moment/moment.go
+++ b/internal/moment/moment.go
@@ -1,4 +1,4 @@
-// Package moment compares points in time.
+// Package moment compares times.
 package moment
 
 import "time"
