--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,4 +1,4 @@
-// Package boottime reads the clock that goes on while the host is suspended.
+// Package boottime reads the kernel clock that also advances while the host is suspended.
 package boottime
 
 import (
@@ -9,16 +9,16 @@
 	"sumachead"
 )
 
-// Clock is the kernel's CLOCK_BOOTTIME. It implements sumachead.Clock; the zero value is
-// ready.
+// Clock reads the kernel's CLOCK_BOOTTIME. It implements [sumachead.Clock]; the zero value is
+// ready to use.
 type Clock struct{}
 
-// Now implements sumachead.Clock.
+// Now implements [sumachead.Clock].
 func (Clock) Now() sumachead.BootTime {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Linux has it since 2.6.39; without it no lease could be trusted.
-		panic("boottime: the kernel does not tell the time since its start: " + err.Error())
+		// Linux has this clock since 2.6.39; without it no lease could be trusted.
+		panic("boottime: reading CLOCK_BOOTTIME: " + err.Error())
 	}
 	return sumachead.BootTime(t.Nano()) * sumachead.BootTime(time.Nanosecond)
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// The clock goes on as the steady one does while the host is not suspended.
-func TestClockGoesOn(t *testing.T) {
+// The boot-time clock advances like the monotonic clock while the host is not suspended.
+func TestClockAdvances(t *testing.T) {
 	var c Clock
-	begun, from := time.Now(), c.Now()
-	const lasts = 50 * time.Millisecond
-	time.Sleep(lasts)
-	took := c.Now().Sub(from)
-	if most := time.Since(begun); took < lasts || took > most+lasts {
-		t.Errorf("%v passed by it, between %v and %v did", took, lasts, most)
+	wallStart, start := time.Now(), c.Now()
+	const minElapsed = 50 * time.Millisecond
+	time.Sleep(minElapsed)
+	elapsed := c.Now().Sub(start)
+	if maxElapsed := time.Since(wallStart); elapsed < minElapsed || elapsed > maxElapsed+minElapsed {
+		t.Errorf("clock advanced by %v, want between %v and %v", elapsed, minElapsed, maxElapsed)
 	}
 }
--- a/internal/boottime/uses_test.go
+++ b/internal/boottime/uses_test.go
@@ -6,18 +6,19 @@
 	"testing"
 )
 
-// What bounds leases must not read the steady clock, which stands still while the host is
-// suspended.
+// The code that decides on the validity of leases must not read the monotonic clock, which
+// stops while the host is suspended.
 func TestLeasesGoByBootTime(t *testing.T) {
 	tests := []struct {
 		file string
-		// allowed are the lines that may: they bound nothing that others were promised.
+		// allowed is the number of lines that may read the clock because no lease depends on
+		// them.
 		allowed int
 	}{
 		{"../raft/core.go", 0},
 		{"../raft/replicate.go", 0},
 		{"../raft/calls.go", 0},
-		{"../raft/node.go", 2}, // how long a synced write took, for a figure
+		{"../raft/node.go", 2}, // duration of a synced write, for a metric
 		{"../follower/follower.go", 0},
 		{"../backoff/backoff.go", 0},
 	}
@@ -33,7 +34,7 @@
 			}
 		}
 		if n != tt.allowed {
-			t.Errorf("%s reads the steady clock in %d lines, %d may", tt.file, n, tt.allowed)
+			t.Errorf("%s reads the monotonic clock in %d lines, want %d", tt.file, n, tt.allowed)
 		}
 	}
 }
