--- a/internal/loop/gate.go
+++ b/internal/loop/gate.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// Gate lets goroutines wait for a condition. The zero value is closed.
+// Gate lets goroutines wait until it is open. The zero value is a closed gate.
 type Gate struct {
 	mu sync.Mutex // guards the fields below
-	// passage is closed while the gate is open; nil before the first call.
-	passage chan struct{}
-	open    bool
+	// opened is closed while the gate is open; nil before the first call.
+	opened chan struct{}
+	open   bool
 }
 
 // Set opens or closes the gate.
@@ -19,7 +19,7 @@
 	}
 	g.open = open
 	if !open {
-		g.passage = nil
+		g.opened = nil
 		return
 	}
 	close(g.channel())
@@ -32,10 +32,10 @@
 	return g.channel()
 }
 
-// channel returns the passage, making it if need be. The caller holds mu.
+// channel returns the opened channel and creates it if necessary. The caller holds mu.
 func (g *Gate) channel() chan struct{} {
-	if g.passage == nil {
-		g.passage = make(chan struct{})
+	if g.opened == nil {
+		g.opened = make(chan struct{})
 	}
-	return g.passage
+	return g.opened
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop runs work at intervals.
+// Package loop runs functions at intervals and waits with a context.
 package loop
 
 import (
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Every calls f at an interval until ctx ends; then it returns nil. It passes no
-// time on: that of a tick is old in a process that was frozen.
+// Every calls f at an interval until ctx is done; then it returns nil. It does not pass the
+// time of the tick to f, which is outdated if the process was suspended.
 func Every(ctx context.Context, interval time.Duration, f func()) error {
 	return EveryOrKicked(ctx, interval, nil, 0, f)
 }
 
-// EveryOrKicked is Every with a call beside the interval a gap after each kick, so that what
-// comes together is dealt with by one call.
-func EveryOrKicked(ctx context.Context, interval time.Duration, kick <-chan struct{}, gap time.Duration, f func()) error {
+// EveryOrSignaled is like Every, but also calls f once gap has passed after a signal, so that
+// one call handles all events of that gap.
+func EveryOrKicked(ctx context.Context, interval time.Duration, signal <-chan struct{}, gap time.Duration, f func()) error {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
@@ -22,14 +22,15 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-		case <-kick:
+		case <-signal:
 			time.Sleep(gap)
 		}
 		f()
 	}
 }
 
-// Pause returns true when changed is closed or at a time, and false when ctx ends first.
+// Pause waits until changed is closed or until a time, and returns true. It returns false if
+// ctx is done first.
 func Pause(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
 	t := time.NewTimer(time.Until(until))
 	defer t.Stop()
@@ -42,13 +43,13 @@
 	return true
 }
 
-// Sleep returns true after d, and false when ctx ends first.
+// Sleep waits for d and returns true. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	return Pause(ctx, nil, time.Now().Add(d))
 }
 
-// Until polls done at an interval until it holds or ctx ends; it reports whether
-// it held.
+// Until polls done at an interval until it returns true or ctx is done, and reports whether it
+// returned true.
 func Until(ctx context.Context, interval time.Duration, done func() bool) bool {
 	for !done() {
 		if !Sleep(ctx, interval) {
