--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -1,13 +1,13 @@
-// Package chain puts filters around the handler of a request.
+// Package chain wraps request handlers in filters.
 package chain
 
-// Handler deals with a request and its state X.
+// Handler handles a request with state X.
 type Handler[X any] func(X) error
 
-// Filter wraps a handler in another.
+// Filter wraps a handler in another one.
 type Filter[X any] func(next Handler[X]) Handler[X]
 
-// Wrap wraps h in filters; the first is the outermost.
+// Wrap wraps h in filters; the first filter is the outermost.
 func Wrap[X any](h Handler[X], filters ...Filter[X]) Handler[X] {
 	for i := len(filters) - 1; i >= 0; i-- {
 		h = filters[i](h)
