--- a/callers.go
+++ b/callers.go
@@ -31,8 +31,8 @@
 	Deadline time.Time
 	// PromptTokens is the size of the prompt and MaxOutputTokens the maximum size of the
 	// response; both are 0 where tokens are not counted.
-	PromptTokens Tokens
-	AnswerTokens Tokens
+	PromptTokens    Tokens
+	MaxOutputTokens Tokens
 	// Parts are the prompt's parts in order.
 	Parts []PromptPart
 	// LastEvent is the event after which a stream is to be resumed; empty to start from the
@@ -41,7 +41,7 @@
 }
 
 // CallerResponse receives the response to one request. Calls do not overlap.
-type CallerAnswer interface {
+type CallerResponse interface {
 	// Start sends the status and header. A size below 0 means that the length of the body is
 	// not known yet. Writes of data that the caller has not received by until fail.
 	Start(status int, header http.Header, size int, until time.Time)
@@ -69,20 +69,20 @@
 	Leaving bool
 	// BackoffUntil is the time until which the server asks this process to send no requests;
 	// zero if it does not ask.
-	RestUntil time.Time
+	BackoffUntil time.Time
 	// Limit is the maximum rate of requests from all routers together; 0 if the response
 	// specifies none.
 	Limit RequestRate
 	// LimitMalformed is set if the response specifies a limit that cannot be parsed; a limit
 	// known before stays in force.
-	LimitUnclear bool
+	LimitMalformed bool
 	// Malformed describes the part of the notice that cannot be parsed and is ignored; empty if there
 	// is none.
-	Unreadable string
+	Malformed string
 }
 
 // ResponseHead is what the status and header of a backend server's response specify.
-type AnswerHead struct {
+type ResponseHead struct {
 	ServerNotice
 	// ID identifies the request that is answered; empty if not specified.
 	ID RequestID
@@ -97,7 +97,7 @@
 }
 
 // HealthResponse is the response of a backend server to a health check.
-type HealthAnswer struct {
+type HealthResponse struct {
 	ServerNotice
 	// Server is the incarnation of the server that has responded; empty if it is not healthy or
 	// not specified.
@@ -111,7 +111,7 @@
 	// Encode sets the header fields that a backend server is sent with an attempt.
 	Encode(h http.Header, r *CallerRequest, a *Attempt)
 	// Decode parses the status and header of a response received at now.
-	Decode(status int, h http.Header, now time.Time) AnswerHead
+	Decode(status int, h http.Header, now time.Time) ResponseHead
 	// Health parses the response to a health check, received at now.
-	Health(status int, h http.Header, now time.Time) HealthAnswer
+	Health(status int, h http.Header, now time.Time) HealthResponse
 }
--- a/interfaces.go
+++ b/interfaces.go
@@ -39,7 +39,7 @@
 	// LoadAt is when Load was received.
 	LoadAt time.Time
 	// InFlight is the number of requests that this router has in flight there.
-	Outstanding int
+	InFlight int
 }
 
 // PlaceRequest describes the request to be placed.
@@ -68,7 +68,7 @@
 }
 
 // Estimate estimates when something that a request needs will be available.
-type Prospect interface {
+type Estimate interface {
 	// Expect returns the expected time, as known at now, or the zero time if it will never be
 	// available. The estimate is sure if what is needed is known to be on its way.
 	Expect(now time.Time) (at time.Time, sure bool)
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -74,16 +74,16 @@
 			Slots: 64, Sequence: uint64(sequence),
 		}
 	}
-	t.Lead("one", time.Now())
+	t.StartLeading("one", time.Now())
 	for i := range designReplicas {
-		if _, err := t.Beat(record(i, 1), time.Now()); err != nil {
+		if _, err := t.ApplyHeartbeat(record(i, 1), time.Now()); err != nil {
 			b.Fatal(err)
 		}
 	}
-	whole, _ := t.Since("", 0)
+	whole, _ := t.ChangesSince("", 0)
 	i := 0
 	for b.Loop() {
-		if _, err := t.Beat(record(i%designReplicas, 2+i/designReplicas), time.Now()); err != nil {
+		if _, err := t.ApplyHeartbeat(record(i%designReplicas, 2+i/designReplicas), time.Now()); err != nil {
 			b.Fatal(err)
 		}
 		i++
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -33,7 +33,7 @@
 }
 
 // Validate returns a [trace.BadParameter] error if a catalog cannot be used.
-func Check(c *wire.Catalog) error {
+func Validate(c *wire.Catalog) error {
 	services := make(map[string]bool)
 	for _, s := range c.GetServices() {
 		if s.GetName() == "" || services[s.GetName()] {
@@ -145,7 +145,7 @@
 func (v *View) Service(name string) *wire.Service { return v.services[name] }
 
 // PickService picks one of a route's services at random, weighted by the route's shares.
-func Pick(r *wire.Route) string {
+func PickService(r *wire.Route) string {
 	shares := r.GetShares()
 	if len(shares) == 1 {
 		return shares[0].GetService()
@@ -164,7 +164,7 @@
 }
 
 // Budgets returns the budgets of the workspaces, without those that have no limit.
-func Totals(c *wire.Catalog) map[sumachead.WorkspaceID]sumachead.Tokens {
+func Budgets(c *wire.Catalog) map[sumachead.WorkspaceID]sumachead.Tokens {
 	totals := make(map[sumachead.WorkspaceID]sumachead.Tokens)
 	for _, w := range c.GetWorkspaces() {
 		if w.Prepaid != nil {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -43,7 +43,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := validCatalog()
 			tt.modify(c)
-			if err := Check(c); trace.IsBadParameter(err) != tt.wantErr {
+			if err := Validate(c); trace.IsBadParameter(err) != tt.wantErr {
 				t.Fatalf("got %v, want an error: %t", err, tt.wantErr)
 			}
 		})
@@ -74,7 +74,7 @@
 	r := &wire.Route{Shares: []*wire.ServiceShare{{Service: "a", Weight: 9}, {Service: "b", Weight: 1}, {Service: "c"}}}
 	count := make(map[string]int)
 	for range 10000 {
-		count[Pick(r)]++
+		count[PickService(r)]++
 	}
 	if count["c"] != 0 || count["b"] < 700 || count["b"] > 1300 {
 		t.Fatalf("picked %v for weights 9, 1 and 0", count)
--- a/internal/escrow/reservation.go
+++ b/internal/escrow/reservation.go
@@ -78,7 +78,7 @@
 
 // grantEstimate estimates when a request that asks for the workspace's tokens now would get
 // them. Requests have been short since the first that waited without success.
-func (w *Wallet) grantEstimate(id sumachead.WorkspaceID, requestedAt time.Time) sumachead.Prospect {
+func (w *Wallet) grantEstimate(id sumachead.WorkspaceID, requestedAt time.Time) sumachead.Estimate {
 	w.mu.Lock()
 	since, requestAfter := w.balance(id).shortSince, w.balance(id).requestAfter
 	w.mu.Unlock()
--- a/internal/escrow/waiting_test.go
+++ b/internal/escrow/waiting_test.go
@@ -57,7 +57,7 @@
 	const retryDelay = 160 * time.Millisecond
 	h := newHolder("router-1", "a")
 	var estimateFrom time.Time
-	h.EstimateGrant = func(asked, _ time.Time) sumachead.Prospect {
+	h.EstimateGrant = func(asked, _ time.Time) sumachead.Estimate {
 		estimateFrom = asked
 		return patience.ReportedEstimate{}
 	}
--- a/internal/escrow/wallet.go
+++ b/internal/escrow/wallet.go
@@ -17,7 +17,7 @@
 	// EstimateGrant estimates when the ledger grants tokens that a report may ask for from the
 	// time asked on, and that requests have been short of since the time since. It is nil if
 	// nothing is known of the ledger.
-	EstimateGrant func(asked, since time.Time) sumachead.Prospect
+	EstimateGrant func(asked, since time.Time) sumachead.Estimate
 
 	mu sync.Mutex // guards the fields below, and the balances
 	// boot is the holder's incarnation; the ledger may close it.
--- a/internal/fleet/alive.go
+++ b/internal/fleet/alive.go
@@ -90,7 +90,7 @@
 // does not wait for the leader, which receives it in a batch. A [trace.BadParameter] error means
 // that the record is invalid.
 func (k *Keeper) Beat(ctx context.Context, r *wire.ServerRecord) error {
-	if err := k.servers.Check(r); err != nil {
+	if err := k.servers.Validate(r); err != nil {
 		return err
 	}
 	if r.GetState() == wire.ServerState_SERVER_STATE_READY && !k.node.Leading() && k.hasLeaderContact() {
@@ -108,7 +108,7 @@
 // forwardLoop forwards heartbeats to the leader. Those without news may be lost, as a server
 // counts as silent only after several are missing; those with news are retried.
 func (k *Keeper) forwardLoop(ctx context.Context) error {
-	return loop.EveryOrKicked(ctx, heartbeatForwardInterval, k.heartbeats.added, recordBatchDelay, func() { k.forwardHeartbeats(ctx) })
+	return loop.EveryOrSignaled(ctx, heartbeatForwardInterval, k.heartbeats.added, recordBatchDelay, func() { k.forwardHeartbeats(ctx) })
 }
 
 // forwardHeartbeats sends the batch to the leader, if one is known. Records that could not be sent
@@ -139,7 +139,7 @@
 // applyHeartbeats applies a batch of heartbeats at the leader.
 func (k *Keeper) applyHeartbeats(report *wire.AliveReport) {
 	now := time.Now()
-	k.servers.Alive(report, now)
+	k.servers.ApplyAliveReport(report, now)
 	for _, r := range report.GetRecords() {
 		if err := k.applyRecord(r, now); err != nil {
 			k.ReportInvalidRecord(r.GetId(), "another keeper", err)
@@ -155,7 +155,7 @@
 
 // applyRecord applies a record at the leader and logs what has changed.
 func (k *Keeper) applyRecord(r *wire.ServerRecord, now time.Time) error {
-	news, err := k.servers.Beat(r, now)
+	news, err := k.servers.ApplyHeartbeat(r, now)
 	if news {
 		k.limitedLog.Info(k.Log, "A backend server's record has changed.", "server", r.GetId(), "service", r.GetService(),
 			"address", r.GetAddress(), "state", r.GetState().String(), "sequence", r.GetSequence())
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -34,7 +34,7 @@
 // number is not above the current one changes nothing. A [trace.BadParameter] error is a permanent
 // refusal; after any other error the declaration may or may not come into force.
 func (k *Keeper) Declare(ctx context.Context, d *wire.Declaration) error {
-	if err := catalog.Check(d.GetCatalog()); err != nil {
+	if err := catalog.Validate(d.GetCatalog()); err != nil {
 		k.Log.Warn("Declaration rejected.", "number", d.GetNumber(), "error", err)
 		return err
 	}
@@ -98,7 +98,7 @@
 func (k *Keeper) sweepLoop(ctx context.Context) error {
 	return loop.Every(ctx, sweepInterval, func() {
 		if k.node.Leading() && k.requireLeadership() == nil {
-			k.servers.Lead(k.history(), time.Now())
+			k.servers.StartLeading(k.history(), time.Now())
 			k.servers.Sweep(time.Now())
 			k.expireSuspects(time.Now())
 		}
@@ -145,7 +145,7 @@
 	if err != nil || k.node.Leading() {
 		return false
 	}
-	k.servers.Take(reply, time.Now())
+	k.servers.Apply(reply, time.Now())
 	k.copiedAt.Store(time.Now().UnixNano())
 	return true
 }
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -100,7 +100,7 @@
 	k.stopped = make(chan struct{})
 	k.machine = NewStateMachine()
 	k.machine.rollouts.StartReplay()
-	k.machine.OnLeaving = func(id string) { k.servers.Leave(id, time.Now()) }
+	k.machine.OnLeaving = func(id string) { k.servers.MarkLeaving(id, time.Now()) }
 	t := newTransport(ctx, k.Pool, func(address string) { k.node.PeerRefused(address) })
 	k.node = &raft.Node{
 		Group: Group, ID: k.Address, Incarnation: k.identity.GetIncarnation(),
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -109,7 +109,7 @@
 // setDeclaration puts a declaration in force. The caller holds mu.
 func (m *StateMachine) setDeclaration(d *wire.Declaration, p *wire.PackedDeclaration) {
 	m.declaration, m.packed = d, p
-	m.ledger.SetTotals(catalog.Totals(d.GetCatalog()))
+	m.ledger.SetTotals(catalog.Budgets(d.GetCatalog()))
 	m.notify()
 }
 
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -41,7 +41,7 @@
 		k.Log.Warn("Failed to read saved server records.", "error", err)
 		return
 	}
-	k.servers.Load(known.GetServers(), time.Now())
+	k.servers.Restore(known.GetServers(), time.Now())
 	k.Log.Info("Loaded saved server records.", "servers", len(known.GetServers()))
 }
 
@@ -69,7 +69,7 @@
 
 // saveRecords writes the file; it does nothing if no server is known.
 func (k *Keeper) saveRecords() error {
-	known := k.servers.Known()
+	known := k.servers.Records()
 	if len(known) == 0 {
 		return nil
 	}
--- a/internal/fleet/records_test.go
+++ b/internal/fleet/records_test.go
@@ -57,7 +57,7 @@
 	if err := k.saveRecords(); err != nil {
 		t.Fatalf("writing no servers: %v", err)
 	}
-	if _, err := k.servers.Beat(&wire.ServerRecord{Id: "i-1", Service: "pool", Sequence: 1}, time.Now()); err != nil {
+	if _, err := k.servers.ApplyHeartbeat(&wire.ServerRecord{Id: "i-1", Service: "pool", Sequence: 1}, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	if err := k.saveRecords(); err != nil {
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -244,8 +244,8 @@
 // rolloutFleet returns the servers of a service that is being rolled out, and the routers, as far
 // as they are known.
 func (k *Keeper) rolloutFleet(r *wire.Rollout) *rollout.ServiceState {
-	f := &rollout.ServiceState{Routers: k.followers.nodesWithRole(RoleRouter), Complete: k.servers.HeardOfAll(time.Now())}
-	for version, slots := range k.servers.Versions(r.GetService()) {
+	f := &rollout.ServiceState{Routers: k.followers.nodesWithRole(RoleRouter), Complete: k.servers.HasHeardFromAll(time.Now())}
+	for version, slots := range k.servers.SlotsByVersion(r.GetService()) {
 		switch {
 		case version == r.GetTarget():
 			f.TargetSlots += slots
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -85,7 +85,7 @@
 		return err
 	}
 	if r.GetAddress() == "" && r.GetBornUnixMillis() == 0 {
-		r.Id = k.servers.Last(registry.Name(r)) // a notice without an address or start time refers to the known incarnation
+		r.Id = k.servers.LatestIncarnation(registry.ServerName(r)) // a notice without an address or start time refers to the known incarnation
 	}
 	if r.GetState() == wire.ServerState_SERVER_STATE_LEAVING && !k.machine.IsLeaving(r.GetId()) {
 		c := &wire.FleetCommand{Command: &wire.FleetCommand_Leaving{Leaving: &wire.ServerLeaving{Id: r.GetId()}}}
@@ -126,8 +126,8 @@
 	if r.GetRole() == RoleRelay {
 		return nil
 	}
-	k.servers.Lead(k.history(), time.Now())
-	answer, _ := k.servers.Since(r.GetHistory(), r.GetVersion())
+	k.servers.StartLeading(k.history(), time.Now())
+	answer, _ := k.servers.ChangesSince(r.GetHistory(), r.GetVersion())
 	// The records are shared with the table, which never modifies them.
 	reply.History, reply.Version, reply.Whole, reply.Servers = answer.GetHistory(), answer.GetVersion(), answer.GetWhole(), answer.GetServers()
 	k.fillLoggedState(r, reply)
@@ -194,7 +194,7 @@
 	// Get the channel first, so that it is closed by any change after the checks below.
 	_, changed := k.machine.Declaration()
 	behind := k.isBehind(r)
-	news, servers := k.servers.Since(r.GetHistory(), r.GetVersion())
+	news, servers := k.servers.ChangesSince(r.GetHistory(), r.GetVersion())
 	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, maxFollowWait)
 	if behind || news.GetWhole() || len(news.GetServers()) > 0 || wait <= 0 {
 		return
--- a/internal/fleetclient/escrow.go
+++ b/internal/fleetclient/escrow.go
@@ -67,7 +67,7 @@
 
 // Run sends reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) error {
-	return loop.EveryOrKicked(ctx, reportInterval, r.requested, minReportInterval, func() { r.report(ctx) })
+	return loop.EveryOrSignaled(ctx, reportInterval, r.requested, minReportInterval, func() { r.report(ctx) })
 }
 
 // report sends a report if there is something new.
--- a/internal/fleetclient/ledgertimes.go
+++ b/internal/fleetclient/ledgertimes.go
@@ -89,7 +89,7 @@
 
 // estimate returns the estimate for tokens that a report may request from asked on, and that
 // requests have been short of since another time.
-func (t *ledgerLatency) estimate(asked, since time.Time) sumachead.Prospect {
+func (t *ledgerLatency) estimate(asked, since time.Time) sumachead.Estimate {
 	return ledgerEstimate{t, asked, since}
 }
 
--- a/internal/fleetclient/take.go
+++ b/internal/fleetclient/take.go
@@ -16,7 +16,7 @@
 	c.applyHalls(r.GetHalls())
 	c.applyRollouts(r.GetRollouts())
 	c.ApplySuspects(r.GetSuspects())
-	c.Servers.Take(r, time.Now())
+	c.Servers.Apply(r, time.Now())
 	c.routers.Store(r.GetRouters())
 	if p := r.GetDeclaration(); p != nil {
 		c.applyPacked(p)
@@ -26,7 +26,7 @@
 
 // applyHalls applies the states of data halls; nil changes nothing.
 func (c *Client) applyHalls(s *wire.HallStates) {
-	for _, x := range c.Servers.TakeHalls(s, time.Now()) {
+	for _, x := range c.Servers.ApplyHalls(s, time.Now()) {
 		c.Log.Info("State of a data hall in force.", "hall", x.GetHall(), "vacated", x.GetVacated(), "revision", x.GetRevision(),
 			"age", time.Duration(x.GetAgeMillis())*time.Millisecond)
 	}
@@ -40,7 +40,7 @@
 	if c.Rollouts != nil {
 		c.Rollouts.Update(s)
 	}
-	for _, x := range c.Servers.TakeRollouts(s) {
+	for _, x := range c.Servers.ApplyRollouts(s) {
 		c.Log.Info("A roll-out's phase is in force.", "service", x.GetService(), "target", x.GetTarget(), "phase", x.GetPhase().String(),
 			"revision", x.GetRevision(), "age", time.Duration(x.GetAgeMillis())*time.Millisecond, "reason", x.GetReason())
 	}
--- a/internal/gateway/bill_test.go
+++ b/internal/gateway/bill_test.go
@@ -29,7 +29,7 @@
 			g.wallet.RecordDemand("nurses", 0)
 			boot := g.wallet.Report(time.Now(), false).GetBoot()
 			g.wallet.ApplyReply(&wire.EscrowReply{Answers: []*wire.EscrowAnswer{{Workspace: "nurses", Granted: 1000, Keep: escrow.KeepAll}}}, sumachead.BootID(boot), "", time.Now())
-			_, _, _ = sendRequest(g, "1", func(r *sumachead.CallerRequest) { r.Key, r.PromptTokens, r.AnswerTokens = "n", 100, 50 })
+			_, _, _ = sendRequest(g, "1", func(r *sumachead.CallerRequest) { r.Key, r.PromptTokens, r.MaxOutputTokens = "n", 100, 50 })
 			if got := 1000 - g.wallet.Available("nurses"); got != tt.want {
 				t.Fatalf("billed %d, want %d", got, tt.want)
 			}
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -111,7 +111,7 @@
 		p := patience.TypicalEstimate{Since: since, By: since.Add(d.Heartbeat)}
 		retryAt, wait := patience.ShouldWait(p, d.x.deadlines(), now)
 		switch {
-		case len(all) == 0 && d.servers.OnlyVacated(d.x.service.GetName(), d.halls, now):
+		case len(all) == 0 && d.servers.AllVacated(d.x.service.GetName(), d.halls, now):
 			return nil, refusePermanently(sumachead.ReasonNoServer, "all data halls with servers that the request may be sent to are vacated")
 		case !wait && len(all) > 0:
 			return all, nil
@@ -153,11 +153,11 @@
 			switch {
 			case err != nil:
 				g.failureLog.Info(g.Log, "Health check of a silent backend server failed.", "server", r.GetId(), "error", err)
-			case string(a.Server) == registry.Name(r):
-				g.servers.Confirm(r.GetId(), a.ColdUntil, time.Now())
+			case string(a.Server) == registry.ServerName(r):
+				g.servers.ConfirmAlive(r.GetId(), a.ColdUntil, time.Now())
 			default:
 				g.failureLog.Info(g.Log, "Silent backend server was replaced by another incarnation.", "server", r.GetId(), "answered", a.Server)
-				g.servers.Leave(r.GetId(), time.Now())
+				g.servers.MarkLeaving(r.GetId(), time.Now())
 			}
 			return nil // a server that does not respond must not cancel the other checks
 		})
--- a/internal/gateway/candidates_test.go
+++ b/internal/gateway/candidates_test.go
@@ -18,7 +18,7 @@
 	g := newGateway(t, wire.RouteKind_ROUTE_KIND_SINGLE, false, nil)
 	g.Heartbeat = testHeartbeat / 2 // less than the route's timeout
 	record := &wire.ServerRecord{Id: "a", Service: "pool", Address: a.listen(t, serve), Hall: "hall-1", Slots: 4}
-	g.servers.Load([]*wire.ServerRecord{record}, time.Now())
+	g.servers.Restore([]*wire.ServerRecord{record}, time.Now())
 	return g, a
 }
 
@@ -45,7 +45,7 @@
 		b := &backend{id: "b"}
 		address := b.listen(t, healthAs("b"))
 		time.AfterFunc(testHeartbeat/4, func() {
-			g.servers.Take(&wire.FollowReply{Servers: []*wire.ServerRecord{
+			g.servers.Apply(&wire.FollowReply{Servers: []*wire.ServerRecord{
 				{Id: "b", Service: "pool", Address: address, Hall: "hall-1", Slots: 4, Sequence: 1},
 			}}, time.Now())
 		})
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -159,7 +159,7 @@
 // without one, from this router's share.
 func (d *dispatch) requestGrant(r *wire.ServerRecord, cold warmup.Bound) (granted bool, retryAfter time.Duration) {
 	if cold.Rate > 0 && (d.x.service.GetEngine() == nil || d.permitAddress(r) == "") {
-		granted, retryAfter = d.cold.take(registry.Name(r), cold, d.client.Routers())
+		granted, retryAfter = d.cold.take(registry.ServerName(r), cold, d.client.Routers())
 		if !granted || d.limits.Get(sumachead.ServerID(r.GetId())).Rate == 0 {
 			return granted, retryAfter
 		}
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -25,7 +25,7 @@
 	for _, id := range cold {
 		for _, r := range g.servers.Servers("pool", nil) {
 			if r.GetId() == id {
-				if _, err := g.servers.Beat(&wire.ServerRecord{
+				if _, err := g.servers.ApplyHeartbeat(&wire.ServerRecord{
 					Id: id, Service: "pool", Address: r.GetAddress(), Hall: r.GetHall(), Slots: 4, Sequence: 2, ColdMillis: 3000,
 				}, time.Now()); err != nil {
 					t.Fatal(err)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -53,7 +53,7 @@
 func (g *Gateway) dispatch(x *exchange) error {
 	ctx, cancel := context.WithDeadline(x.ctx, x.deadline)
 	defer cancel()
-	x.service = x.view.Service(catalog.Pick(x.route))
+	x.service = x.view.Service(catalog.PickService(x.route))
 	d := &dispatch{Gateway: g, x: x, ctx: ctx, halls: g.allowedHalls(x)}
 	if x.route.GetKind() == wire.RouteKind_ROUTE_KIND_STREAM {
 		d.stream = newEventStream(x)
@@ -246,7 +246,7 @@
 	switch {
 	case a.Head.NotRun || a.Head.Stale:
 		reason := sumachead.ReasonBusy
-		if backoffEnd := a.Head.RestUntil; !backoffEnd.IsZero() {
+		if backoffEnd := a.Head.BackoffUntil; !backoffEnd.IsZero() {
 			reason = sumachead.ReasonResting
 			l.ReportBackoff(time.Until(backoffEnd))
 		}
@@ -254,7 +254,7 @@
 			// Another incarnation answers at the address, so this one has ended: send nothing more
 			// to it before the leader reports that.
 			reason = sumachead.ReasonFenced
-			d.servers.Leave(l.Record.GetId(), time.Now())
+			d.servers.MarkLeaving(l.Record.GetId(), time.Now())
 		}
 		drain(a)
 		return &upstream.Failure{Verdict: sumachead.NotRun, Reason: reason, Err: errors.New("the backend server did not run the request")}
--- a/internal/gateway/ends_test.go
+++ b/internal/gateway/ends_test.go
@@ -84,7 +84,7 @@
 			var g *Gateway
 			serve := func(net.Conn, *http.Request) {
 				if tt.leaving {
-					g.servers.Leave("a", time.Now())
+					g.servers.MarkLeaving("a", time.Now())
 				}
 			}
 			if tt.crashes {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -22,7 +22,7 @@
 type exchange struct {
 	ctx      context.Context
 	request  *sumachead.CallerRequest
-	response sumachead.CallerAnswer
+	response sumachead.CallerResponse
 	arrived  time.Time
 	// view is the declaration under which the request is handled.
 	view  *catalog.View
@@ -93,7 +93,7 @@
 // Serve serves one request. The error is a [*sumachead.Refusal] if there is no complete response;
 // started then reports whether part of one has been sent, in which case the caller's connection
 // must be aborted.
-func (g *Gateway) Serve(ctx context.Context, r *sumachead.CallerRequest, a sumachead.CallerAnswer) (started bool, err error) {
+func (g *Gateway) Serve(ctx context.Context, r *sumachead.CallerRequest, a sumachead.CallerResponse) (started bool, err error) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	x := &exchange{ctx: ctx, request: r, response: a, arrived: time.Now()}
@@ -132,7 +132,7 @@
 // work describes the request to the scheduler.
 func (x *exchange) work() *place.Request {
 	w := &place.Request{
-		Route: x.route.GetName(), PromptTokens: x.request.PromptTokens, MaxOutputTokens: x.request.AnswerTokens, Parts: x.request.Parts,
+		Route: x.route.GetName(), PromptTokens: x.request.PromptTokens, MaxOutputTokens: x.request.MaxOutputTokens, Parts: x.request.Parts,
 		MaxEventGap: x.gapObjective(), Engine: x.service.GetEngine(),
 	}
 	w.FirstEventDeadline, w.Deadline = x.deadlines().Soft, x.deadline
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -87,7 +87,7 @@
 // ended.
 func (g *Gateway) escrowFilter(next handler) handler {
 	return func(x *exchange) error {
-		bound := x.request.PromptTokens + x.request.AnswerTokens
+		bound := x.request.PromptTokens + x.request.MaxOutputTokens
 		if x.access == nil || x.access.Prepaid == nil || bound == 0 {
 			return next(x)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -143,7 +143,7 @@
 		Dialect: g.Dialect, OnDial: g.metrics.dials.Inc, OnNotice: g.handleNotice, BlockReason: g.withholdReason,
 	}
 	g.crashes.RefusesConnections = g.upstream.RefusesConnections
-	g.servers.OnOver = func(r *wire.ServerRecord) {
+	g.servers.OnSuperseded = func(r *wire.ServerRecord) {
 		g.upstream.CloseServer(upstream.Server{ID: sumachead.ServerID(r.GetId()), Address: r.GetAddress()})
 	}
 	g.scheduler = place.NewScheduler(g.Hall)
@@ -174,7 +174,7 @@
 			g.upstream.Prune(time.Now())
 			g.Pool.Tidy(time.Now())
 			g.scheduler.Prune(time.Now())
-			g.servers.Forget(time.Now())
+			g.servers.Prune(time.Now())
 			g.checks.expire(time.Now())
 			g.crashes.expire(time.Now())
 			g.backoffs.Expire()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,26 +37,26 @@
 	}
 }
 
-func (testDialect) Decode(status int, h http.Header, now time.Time) sumachead.AnswerHead {
+func (testDialect) Decode(status int, h http.Header, now time.Time) sumachead.ResponseHead {
 	n := sumachead.ServerNotice{Leaving: h.Get("X-Leaving") != ""}
 	if rate, err := strconv.ParseFloat(h.Get("X-Limit"), 64); err == nil {
 		n.Limit = sumachead.RequestRate(rate)
 	}
 	if rest, err := time.ParseDuration(h.Get("X-Rest")); err == nil {
-		n.RestUntil = now.Add(rest)
+		n.BackoffUntil = now.Add(rest)
 	}
-	return sumachead.AnswerHead{
+	return sumachead.ResponseHead{
 		ServerNotice: n,
 		ID:           sumachead.RequestID(h.Get("X-Request")), NotRun: h.Get("X-Not-Run") != "",
 		Stale: status == http.StatusMisdirectedRequest, Failed: status >= http.StatusInternalServerError,
 	}
 }
 
-func (testDialect) Health(status int, h http.Header, _ time.Time) sumachead.HealthAnswer {
+func (testDialect) Health(status int, h http.Header, _ time.Time) sumachead.HealthResponse {
 	if status != http.StatusOK {
-		return sumachead.HealthAnswer{}
+		return sumachead.HealthResponse{}
 	}
-	return sumachead.HealthAnswer{Server: sumachead.ServerID(h.Get("X-Server"))}
+	return sumachead.HealthResponse{Server: sumachead.ServerID(h.Get("X-Server"))}
 }
 
 // backend is a scripted server; runs counts the requests that reached it.
@@ -182,7 +182,7 @@
 		Workspaces: []*wire.WorkspaceAccess{{Name: "clerks", Keys: []string{"k"}}, {Name: "nurses", Keys: []string{"n"}, Prepaid: proto.Int64(1000)}},
 	}})
 	for id, address := range servers {
-		if _, err := g.servers.Beat(&wire.ServerRecord{Id: id, Service: "pool", Address: address, Hall: "hall-1", Slots: 4, Sequence: 1}, time.Now()); err != nil {
+		if _, err := g.servers.ApplyHeartbeat(&wire.ServerRecord{Id: id, Service: "pool", Address: address, Hall: "hall-1", Slots: 4, Sequence: 1}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/gateway/gauges_test.go
+++ b/internal/gateway/gauges_test.go
@@ -17,7 +17,7 @@
 )
 
 // withPrompt gives a request a prompt, so that the choice of the engine matters.
-func withPrompt(r *sumachead.CallerRequest) { r.PromptTokens, r.AnswerTokens = 9000, 100 }
+func withPrompt(r *sumachead.CallerRequest) { r.PromptTokens, r.MaxOutputTokens = 9000, 100 }
 
 // respondAndWait responds, and closes the connection once the router has.
 func respondAndWait(c net.Conn, r *http.Request) {
--- a/internal/gateway/homes.go
+++ b/internal/gateway/homes.go
@@ -49,7 +49,7 @@
 	if len(all) == 0 && d.sampler.Overdue(service) {
 		// The deadline of the rollout order has passed, all other servers are gone, and this router
 		// has not heard the result.
-		return d.servers.OnTrial(service, d.halls)
+		return d.servers.CanaryServers(service, d.halls)
 	}
 	return all
 }
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -23,7 +23,7 @@
 	for hall := range g.Regions {
 		b := &backend{id: string(hall)}
 		servers[string(hall)] = b
-		if _, err := g.servers.Beat(&wire.ServerRecord{
+		if _, err := g.servers.ApplyHeartbeat(&wire.ServerRecord{
 			Id: b.id, Service: "pool", Address: b.listen(t, serve), Hall: b.id, Slots: 4, Sequence: 1,
 		}, time.Now()); err != nil {
 			t.Fatal(err)
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -40,7 +40,7 @@
 			return
 		}
 		g.failureLog.Info(g.Log, "Backend server named a request limit.", "server", id, "limit", n.Limit)
-	case !n.LimitUnclear && g.limits.Clear(id, sentAt):
+	case !n.LimitMalformed && g.limits.Clear(id, sentAt):
 		g.failureLog.Info(g.Log, "Backend server no longer names a request limit.", "server", id)
 	default:
 		return
@@ -50,7 +50,7 @@
 
 // reportLimit sends what is known of a server's limit to the load tracker that grants its permits.
 func (g *Gateway) reportLimit(id sumachead.ServerID) {
-	for _, r := range g.servers.Known() {
+	for _, r := range g.servers.Records() {
 		if r.GetId() != string(id) {
 			continue
 		}
@@ -67,7 +67,7 @@
 		return
 	}
 	known := make(map[sumachead.ServerID]bool)
-	for _, r := range g.servers.Known() {
+	for _, r := range g.servers.Records() {
 		known[sumachead.ServerID(r.GetId())] = true
 	}
 	g.limits.Expire(func(id sumachead.ServerID, _ ratelimit.Observation) bool { return !known[id] })
@@ -87,12 +87,12 @@
 		return g.trackers.Address(r)
 	}
 	best, bestRank := "", uint64(0)
-	for _, e := range g.servers.Known() {
+	for _, e := range g.servers.Records() {
 		if !isEngine(e) {
 			continue
 		}
 		a := g.trackers.Address(e)
-		if k := fleet.RendezvousHash(registry.Name(r), a); a != "" && (best == "" || k < bestRank) {
+		if k := fleet.RendezvousHash(registry.ServerName(r), a); a != "" && (best == "" || k < bestRank) {
 			best, bestRank = a, k
 		}
 	}
@@ -108,7 +108,7 @@
 	if address != "" {
 		now := boottime.Clock{}.Now()
 		reply, ok := d.trackers.requestPermit(address, &wire.AdmitRequest{
-			Server: registry.Name(r), Rate: cold.Rate, Burst: cold.Burst, Urgency: d.x.urgency(),
+			Server: registry.ServerName(r), Rate: cold.Rate, Burst: cold.Burst, Urgency: d.x.urgency(),
 			Incarnation: r.GetId(), Limit: limit.ToWire(now),
 		})
 		if ok {
@@ -123,5 +123,5 @@
 	if address != "" {
 		b.Rate *= unreachableLimitShare
 	}
-	return d.limits.shares.take(registry.Name(r), b, d.client.Routers())
+	return d.limits.shares.take(registry.ServerName(r), b, d.client.Routers())
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -16,20 +16,20 @@
 // time.
 func (g *Gateway) handleNotice(id sumachead.ServerID, n sumachead.ServerNotice, sentAt sumachead.BootTime) {
 	g.recordLimit(id, n, sentAt)
-	if n.Unreadable != "" {
+	if n.Malformed != "" {
 		g.metrics.malformedNotices.Inc()
-		g.failureLog.Info(g.Log, "Backend server sent a malformed notice.", "server", id, "what", n.Unreadable)
+		g.failureLog.Info(g.Log, "Backend server sent a malformed notice.", "server", id, "what", n.Malformed)
 	}
-	if n.Leaving && !g.servers.Leaving(string(id)) {
+	if n.Leaving && !g.servers.IsLeaving(string(id)) {
 		g.metrics.leavingNotices.Inc()
 		g.failureLog.Info(g.Log, "A backend server says in an answer that it leaves.", "server", id)
-		g.servers.Leave(string(id), time.Now())
+		g.servers.MarkLeaving(string(id), time.Now())
 	}
-	if n.RestUntil.IsZero() {
+	if n.BackoffUntil.IsZero() {
 		return
 	}
 	g.metrics.backoffs.Inc()
-	if rest := time.Until(n.RestUntil); g.backoffs.Set(id, rest) {
+	if rest := time.Until(n.BackoffUntil); g.backoffs.Set(id, rest) {
 		g.failureLog.Info(g.Log, "Backend server requested backoff.", "server", id, "rest", rest)
 	}
 }
@@ -38,7 +38,7 @@
 // the send a request may wait for a grant, a trial and a connection, up to half a second each.
 func (g *Gateway) withholdReason(id sumachead.ServerID) (why sumachead.Reason) {
 	switch {
-	case g.servers.Closed(string(id)):
+	case g.servers.IsExcluded(string(id)):
 		why = sumachead.ReasonLeaving
 	case g.backoffs.Remaining(id) > 0:
 		why = sumachead.ReasonResting
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -80,7 +80,7 @@
 		says sumachead.ServerNotice
 		want sumachead.Reason
 	}{
-		{"asks for a backoff", sumachead.ServerNotice{RestUntil: time.Now().Add(time.Minute)}, sumachead.ReasonResting},
+		{"asks for a backoff", sumachead.ServerNotice{BackoffUntil: time.Now().Add(time.Minute)}, sumachead.ReasonResting},
 		{"leaves", sumachead.ServerNotice{Leaving: true}, sumachead.ReasonLeaving},
 	}
 	for _, tt := range tests {
@@ -133,7 +133,7 @@
 			a := &backend{id: "a"}
 			g := newGateway(t, tt.kind, false, map[string]string{"a": a.listen(t, tt.serve)})
 			_, _, _ = sendRequest(g, "1", nil) // its result is covered by other tests
-			if !g.servers.Leaving("a") {
+			if !g.servers.IsLeaving("a") {
 				t.Error("the server is not known to be leaving")
 			}
 			if _, _, err := sendRequest(g, "2", nil); refusalOf(t, err).Verdict != sumachead.NotRun || a.runs.Load() != 1 {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -36,7 +36,7 @@
 		return nil
 	}
 	if !d.suspects.hasAny() || !d.suspects.isSuspect(d.x.fingerprint()) {
-		canaries := rollout.CanaryServers(d.servers.OnTrial(service, d.halls), d.isWarm)
+		canaries := rollout.CanaryServers(d.servers.CanaryServers(service, d.halls), d.isWarm)
 		if l := d.placeOnBest(canaries, d.tried); l != nil && d.tryAdmit(l, &deniedServers{}) {
 			d.metrics.canaryRequests.Inc()
 			return l
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -208,7 +208,7 @@
 // leaving has ended as planned. It returns nil if there is nothing to find out.
 func (d *dispatch) startCrashCheck(f *upstream.Failure) *crashCheck {
 	r := d.x.placement.Record
-	if !f.ConnectionLost() || f.Verdict == sumachead.NotRun || d.ctx.Err() != nil || d.servers.Leaving(r.GetId()) {
+	if !f.ConnectionLost() || f.Verdict == sumachead.NotRun || d.ctx.Err() != nil || d.servers.IsLeaving(r.GetId()) {
 		return nil
 	}
 	l := &crashCheck{done: make(chan struct{})}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -9,12 +9,12 @@
 // Every calls f at an interval until ctx is done; then it returns nil. It does not pass the
 // time of the tick to f, which is outdated if the process was suspended.
 func Every(ctx context.Context, interval time.Duration, f func()) error {
-	return EveryOrKicked(ctx, interval, nil, 0, f)
+	return EveryOrSignaled(ctx, interval, nil, 0, f)
 }
 
 // EveryOrSignaled is like Every, but also calls f once gap has passed after a signal, so that
 // one call handles all events of that gap.
-func EveryOrKicked(ctx context.Context, interval time.Duration, signal <-chan struct{}, gap time.Duration, f func()) error {
+func EveryOrSignaled(ctx context.Context, interval time.Duration, signal <-chan struct{}, gap time.Duration, f func()) error {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -46,7 +46,7 @@
 
 // ShouldWait decides whether a request keeps waiting. If so, the estimate is to be checked again
 // at the returned time, unless something changes before.
-func ShouldWait(p sumachead.Prospect, u Deadlines, now time.Time) (recheckAt time.Time, wait bool) {
+func ShouldWait(p sumachead.Estimate, u Deadlines, now time.Time) (recheckAt time.Time, wait bool) {
 	at, sure := p.Expect(now)
 	until := u.Soft
 	switch {
@@ -68,7 +68,7 @@
 // expected to be served, with jitter, and the most urgent callers first. If the estimate is
 // unsure, half of the callers would be too early, and most don't retry a second time: they are
 // told a later time if it is before their deadline. It returns zero if a retry does not help.
-func RetryAt(p sumachead.Prospect, u Deadlines, urgency uint32, now time.Time) time.Time {
+func RetryAt(p sumachead.Estimate, u Deadlines, urgency uint32, now time.Time) time.Time {
 	at, sure := p.Expect(now)
 	delayed := now.Add(unsureFactor * at.Sub(now))
 	if !sure && !at.IsZero() && (u.Hard.IsZero() || delayed.Before(u.Hard)) {
--- a/internal/patience/patience_test.go
+++ b/internal/patience/patience_test.go
@@ -29,7 +29,7 @@
 	use := Deadlines{Soft: atMillis(500), Hard: atMillis(5000)}
 	tests := []struct {
 		name      string
-		p         sumachead.Prospect
+		p         sumachead.Estimate
 		use       Deadlines
 		now       int
 		recheckAt int
@@ -69,7 +69,7 @@
 		ms := func(name string, limit int) int { return rapid.IntRange(0, limit).Draw(t, name) }
 		use := Deadlines{Soft: atMillis(ms("in time", 1000))}
 		use.Hard = use.Soft.Add(time.Duration(ms("more", 10_000)) * time.Millisecond)
-		var p sumachead.Prospect = ElapsedEstimate{start}
+		var p sumachead.Estimate = ElapsedEstimate{start}
 		if rapid.Bool().Draw(t, "usual") {
 			p = TypicalEstimate{start, atMillis(ms("by", 300))}
 		}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -79,7 +79,7 @@
 	start := int(p.next.Add(1) % uint64(len(cs)))
 	best := cs[start]
 	for i := range cs {
-		if c := cs[(start+i)%len(cs)]; c.Outstanding < best.Outstanding {
+		if c := cs[(start+i)%len(cs)]; c.InFlight < best.InFlight {
 			best = c
 		}
 	}
@@ -139,7 +139,7 @@
 // load returns the number of requests known to be at a candidate: those it reported, or the
 // outstanding ones of this router if they are more.
 func load(c sumachead.Candidate) int {
-	return max(int(c.Load.GetRunning()+c.Load.GetQueued()), c.Outstanding)
+	return max(int(c.Load.GetRunning()+c.Load.GetQueued()), c.InFlight)
 }
 
 // cost returns the expected time to the first token.
--- a/internal/registry/cold_test.go
+++ b/internal/registry/cold_test.go
@@ -46,7 +46,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			start := time.Now()
 			leader := &Table{Heartbeat: time.Second}
-			leader.Lead("one", start)
+			leader.StartLeading("one", start)
 			for _, b := range tt.beats {
 				mustApplyHeartbeat(t, leader, b.record(), start.Add(b.at))
 			}
@@ -69,11 +69,11 @@
 func TestColdReachesFollowers(t *testing.T) {
 	now := time.Now()
 	leader, follower := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
-	leader.Lead("one", now)
+	leader.StartLeading("one", now)
 	mustApplyHeartbeat(t, leader, coldHeartbeat{0, 1, 0}.record(), now)
 	apply := func() {
-		r, _ := leader.Since(follower.Position())
-		follower.Take(r, time.Now())
+		r, _ := leader.ChangesSince(follower.Position())
+		follower.Apply(r, time.Now())
 	}
 	apply()
 	cold := coldHeartbeat{0, 2, 3 * time.Second}.record()
@@ -99,10 +99,10 @@
 	now := time.Now()
 	table := &Table{Heartbeat: time.Second}
 	mustApplyHeartbeat(t, table, coldHeartbeat{0, 1, 0}.record(), now)
-	table.TakeHalls(hallStates(1, []string{"h"}, nil), now)
+	table.ApplyHalls(hallStates(1, []string{"h"}, nil), now)
 	opened := hallStates(2, nil, []string{"h"})
 	opened.Halls[0].AgeMillis = 1000
-	table.TakeHalls(opened, now.Add(5*time.Second))
+	table.ApplyHalls(opened, now.Add(5*time.Second))
 	if want, got := now.Add(4*time.Second+3*time.Second), table.ColdUntil("a", 3*time.Second); !got.Equal(want) {
 		t.Errorf("cold until %v after the start, want %v", got.Sub(now), want.Sub(now))
 	}
@@ -114,14 +114,14 @@
 func TestNewLeaderDoesNotMakeColdServersWarm(t *testing.T) {
 	now := time.Now()
 	first, next, follower := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
-	first.Lead("one", now)
+	first.StartLeading("one", now)
 	mustApplyHeartbeat(t, first, coldHeartbeat{0, 1, 3 * time.Second}.record(), now)
-	r, _ := first.Since(follower.Position())
-	follower.Take(r, now)
-	next.Load(first.Known(), now)
-	next.Lead("two", now)
-	r, _ = next.Since(follower.Position())
-	follower.Take(r, now)
+	r, _ := first.ChangesSince(follower.Position())
+	follower.Apply(r, now)
+	next.Restore(first.Records(), now)
+	next.StartLeading("two", now)
+	r, _ = next.ChangesSince(follower.Position())
+	follower.Apply(r, now)
 	if !follower.ColdUntil("a", 0).After(now.Add(2900 * time.Millisecond)) {
 		t.Error("the server is considered warm")
 	}
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -13,7 +13,7 @@
 
 // Apply applies a leader's response to a follower's table. An incarnation that is known to be
 // leaving stays so, since a response that was in flight before may still report it as ready.
-func (t *Table) Take(r *wire.FollowReply, now time.Time) {
+func (t *Table) Apply(r *wire.FollowReply, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	if r.GetWhole() {
@@ -45,8 +45,8 @@
 	}
 	t.entries[s.GetId()] = next
 	t.setRecord(next, s)
-	if s.GetOver() && t.OnOver != nil && (e == nil || !e.superseded) {
-		t.OnOver(s)
+	if s.GetOver() && t.OnSuperseded != nil && (e == nil || !e.superseded) {
+		t.OnSuperseded(s)
 	}
 }
 
@@ -72,7 +72,7 @@
 }
 
 // Prune drops incarnations that left long ago. It is called by followers.
-func (t *Table) Forget(now time.Time) {
+func (t *Table) Prune(now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
@@ -89,7 +89,7 @@
 // ConfirmAlive records that a silent server has responded to a health check as the incarnation
 // that this table knows, and the time until which it is cold, zero if it is warm. Newer
 // information from the leader overrides it.
-func (t *Table) Confirm(id string, coldUntil, now time.Time) {
+func (t *Table) ConfirmAlive(id string, coldUntil, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil {
@@ -103,7 +103,7 @@
 // the servers count as silent: they are used only where no other server is available. It must
 // be called before the first use of the table; a server that is already known, such as one that
 // is leaving, is not changed.
-func (t *Table) Load(records []*wire.ServerRecord, now time.Time) {
+func (t *Table) Restore(records []*wire.ServerRecord, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	for _, r := range records {
--- a/internal/registry/halls.go
+++ b/internal/registry/halls.go
@@ -23,7 +23,7 @@
 // ApplyHalls applies the states of data halls at a follower and returns those that have
 // changed. States with a revision that is not above the newest are ignored, so that known state
 // never goes back within an incarnation of this process.
-func (t *Table) TakeHalls(s *wire.HallStates, now time.Time) (changed []*wire.HallState) {
+func (t *Table) ApplyHalls(s *wire.HallStates, now time.Time) (changed []*wire.HallState) {
 	t.lock()
 	defer t.mu.Unlock()
 	if s.GetRevision() <= t.hallsRevision {
@@ -57,7 +57,7 @@
 }
 
 // VacatedCount returns the number of vacated data halls.
-func (t *Table) Vacated() int {
+func (t *Table) VacatedCount() int {
 	t.lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -72,7 +72,7 @@
 // AllVacated reports whether a service has servers in the given halls, nil for all, and all of
 // these are in vacated halls. It returns false while the leader is new to this follower and may
 // not have heard from all servers yet.
-func (t *Table) OnlyVacated(service string, halls []string, now time.Time) bool {
+func (t *Table) AllVacated(service string, halls []string, now time.Time) bool {
 	t.lock()
 	defer t.mu.Unlock()
 	if now.Sub(t.fullSyncAt) < discoveryHeartbeats*t.Heartbeat {
--- a/internal/registry/halls_test.go
+++ b/internal/registry/halls_test.go
@@ -43,12 +43,12 @@
 			}
 			ids(table) // a cached list must be invalidated
 			for _, s := range tt.updates {
-				table.TakeHalls(s, now)
+				table.ApplyHalls(s, now)
 			}
 			if d := cmp.Diff(tt.want, ids(table)); d != "" {
 				t.Errorf("servers (-want +got):\n%s", d)
 			}
-			if d := cmp.Diff(tt.allVacated, table.OnlyVacated("pool", nil, now)); d != "" {
+			if d := cmp.Diff(tt.allVacated, table.AllVacated("pool", nil, now)); d != "" {
 				t.Errorf("all servers in vacated halls (-want +got):\n%s", d)
 			}
 		})
@@ -59,13 +59,13 @@
 func TestNewLeaderMayNotKnowOfServersElsewhere(t *testing.T) {
 	now := time.Now()
 	table := &Table{Heartbeat: time.Second}
-	table.TakeHalls(hallStates(1, []string{"a"}, nil), now)
+	table.ApplyHalls(hallStates(1, []string{"a"}, nil), now)
 	s := &wire.ServerRecord{Id: "s1", Service: "pool", Hall: "a", Address: "s1:80", Sequence: 1}
-	table.Take(&wire.FollowReply{History: "one", Version: 1, Whole: true, Servers: []*wire.ServerRecord{s}}, now)
-	if table.OnlyVacated("pool", nil, now.Add(time.Second)) {
+	table.Apply(&wire.FollowReply{History: "one", Version: 1, Whole: true, Servers: []*wire.ServerRecord{s}}, now)
+	if table.AllVacated("pool", nil, now.Add(time.Second)) {
 		t.Error("reported one heartbeat after the leader's first response")
 	}
-	if !table.OnlyVacated("pool", nil, now.Add(4*time.Second)) {
+	if !table.AllVacated("pool", nil, now.Add(4*time.Second)) {
 		t.Error("not reported four heartbeats after it")
 	}
 }
--- a/internal/registry/leader.go
+++ b/internal/registry/leader.go
@@ -14,7 +14,7 @@
 
 // StartLeading starts a new version history under a name that no other leader uses. The ages of
 // all records start at zero, since this node may not have received the servers' heartbeats.
-func (t *Table) Lead(history string, now time.Time) {
+func (t *Table) StartLeading(history string, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	if t.history == history {
@@ -29,7 +29,7 @@
 
 // HasHeardFromAll reports whether this table has been leading long enough for all servers to
 // have sent a heartbeat.
-func (t *Table) HeardOfAll(now time.Time) bool {
+func (t *Table) HasHeardFromAll(now time.Time) bool {
 	t.lock()
 	defer t.mu.Unlock()
 	return t.leading && now.Sub(t.leadingSince) > discoveryHeartbeats*t.Heartbeat
@@ -39,7 +39,7 @@
 // incarnation, changes nothing. It reports whether the record has changed in what followers
 // use. It returns a [trace.BadParameter] error for a record that no backend server can have
 // sent.
-func (t *Table) Beat(r *wire.ServerRecord, now time.Time) (changed bool, err error) {
+func (t *Table) ApplyHeartbeat(r *wire.ServerRecord, now time.Time) (changed bool, err error) {
 	t.lock()
 	defer t.mu.Unlock()
 	if err := t.validate(r); err != nil {
@@ -92,7 +92,7 @@
 }
 
 // ApplyAliveReport records heartbeats without changes, by id and sequence.
-func (t *Table) Alive(r *wire.AliveReport, now time.Time) {
+func (t *Table) ApplyAliveReport(r *wire.AliveReport, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	for i, id := range r.GetIds() {
@@ -139,7 +139,7 @@
 // ChangesSince returns the changes since a version of a history, or all records if the changes
 // are not known, and a channel that is closed at the next change. The records must not be
 // changed.
-func (t *Table) Since(history string, version uint64) (r *wire.FollowReply, changed <-chan struct{}) {
+func (t *Table) ChangesSince(history string, version uint64) (r *wire.FollowReply, changed <-chan struct{}) {
 	t.lock()
 	defer t.mu.Unlock()
 	r = &wire.FollowReply{History: t.history, Version: t.version, Whole: history != t.history || version > t.version || version < t.trimmedVersion}
--- a/internal/registry/names.go
+++ b/internal/registry/names.go
@@ -32,7 +32,7 @@
 
 // Validate returns a [trace.BadParameter] error for a record that no backend server can have
 // sent.
-func (t *Table) Check(r *wire.ServerRecord) error {
+func (t *Table) Validate(r *wire.ServerRecord) error {
 	t.lock()
 	defer t.mu.Unlock()
 	return t.validate(r)
@@ -40,7 +40,7 @@
 
 // validate implements Validate. The caller holds mu.
 func (t *Table) validate(r *wire.ServerRecord) error {
-	last := t.entries[t.latestByName[Name(r)]]
+	last := t.entries[t.latestByName[ServerName(r)]]
 	switch {
 	case r.GetBornUnixMillis() != 0 || r.GetAddress() == "":
 		return nil
@@ -55,7 +55,7 @@
 // admit reports whether a heartbeat is of the current incarnation of its server, and supersedes
 // the previous one if the heartbeat's incarnation is newer. The caller holds mu.
 func (t *Table) admit(r *wire.ServerRecord, now time.Time) bool {
-	last := t.entries[t.latestByName[Name(r)]]
+	last := t.entries[t.latestByName[ServerName(r)]]
 	if last == nil || last.record.GetId() == r.GetId() {
 		return true
 	}
@@ -118,18 +118,18 @@
 	if t.latestByName == nil {
 		t.latestByName = make(map[string]string)
 	}
-	last := t.entries[t.latestByName[Name(r)]]
+	last := t.entries[t.latestByName[ServerName(r)]]
 	if last == nil || last.record == nil || last.record.GetBornUnixMillis() <= r.GetBornUnixMillis() || last.superseded {
-		t.latestByName[Name(r)] = r.GetId()
+		t.latestByName[ServerName(r)] = r.GetId()
 	}
 }
 
 // ServerName returns the name that all incarnations of a record's server share.
-func Name(r *wire.ServerRecord) string { return cmp.Or(r.GetName(), r.GetId()) }
+func ServerName(r *wire.ServerRecord) string { return cmp.Or(r.GetName(), r.GetId()) }
 
 // LatestIncarnation returns the id of the latest incarnation of a server's name, or the name if
 // none is known.
-func (t *Table) Last(name string) string {
+func (t *Table) LatestIncarnation(name string) string {
 	t.lock()
 	defer t.mu.Unlock()
 	if id, ok := t.latestByName[name]; ok {
--- a/internal/registry/names_test.go
+++ b/internal/registry/names_test.go
@@ -70,24 +70,24 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			leader := &Table{Heartbeat: interval}
-			leader.Lead("1", start)
+			leader.StartLeading("1", start)
 			follower := &Table{Heartbeat: interval}
 			next := &Table{Heartbeat: interval} // follows first, and becomes the leader later
 			now := start
 			for _, b := range tt.beats {
 				now = start.Add(b.after)
-				if _, err := leader.Beat(b.r, now); err != nil && !trace.IsBadParameter(err) {
+				if _, err := leader.ApplyHeartbeat(b.r, now); err != nil && !trace.IsBadParameter(err) {
 					t.Fatal(err)
 				}
 				for _, f := range []*Table{follower, next} {
 					history, version := f.Position()
-					reply, _ := leader.Since(history, version)
-					f.Take(reply, now)
+					reply, _ := leader.ChangesSince(history, version)
+					f.Apply(reply, now)
 				}
 			}
-			next.Lead("2", now)
+			next.StartLeading("2", now)
 			// A heartbeat that the previous leader received is repeated.
-			if _, err := next.Beat(tt.beats[0].r, now); err != nil && !trace.IsBadParameter(err) {
+			if _, err := next.ApplyHeartbeat(tt.beats[0].r, now); err != nil && !trace.IsBadParameter(err) {
 				t.Fatal(err)
 			}
 			for name, table := range map[string]*Table{"leader": leader, "follower": follower, "next leader": next} {
@@ -102,16 +102,16 @@
 func TestOnSupersededIsCalledOncePerIncarnation(t *testing.T) {
 	now := time.UnixMilli(1_700_000_000_000)
 	leader := &Table{Heartbeat: time.Second}
-	leader.Lead("1", now)
+	leader.StartLeading("1", now)
 	var superseded []string
-	follower := &Table{Heartbeat: time.Second, OnOver: func(r *wire.ServerRecord) { superseded = append(superseded, r.GetId()) }}
+	follower := &Table{Heartbeat: time.Second, OnSuperseded: func(r *wire.ServerRecord) { superseded = append(superseded, r.GetId()) }}
 	for i, born := range []int64{100, 200, 200} {
-		if _, err := leader.Beat(incarnationOf("a", born, uint64(i)+1), now); err != nil {
+		if _, err := leader.ApplyHeartbeat(incarnationOf("a", born, uint64(i)+1), now); err != nil {
 			t.Fatal(err)
 		}
 		history, version := follower.Position()
-		reply, _ := leader.Since(history, version)
-		follower.Take(reply, now)
+		reply, _ := leader.ChangesSince(history, version)
+		follower.Apply(reply, now)
 	}
 	if diff := cmp.Diff([]string{"a@100"}, superseded); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
@@ -121,7 +121,7 @@
 // mustApplyHeartbeat applies a valid heartbeat.
 func mustApplyHeartbeat(t *testing.T, table *Table, r *wire.ServerRecord, now time.Time) (changed bool) {
 	t.Helper()
-	changed, err := table.Beat(r, now)
+	changed, err := table.ApplyHeartbeat(r, now)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -54,7 +54,7 @@
 	Heartbeat time.Duration
 	// OnSuperseded is called for each incarnation that ended because a later one of its name is
 	// known; it may be nil. It must not call the table.
-	OnOver func(*wire.ServerRecord)
+	OnSuperseded func(*wire.ServerRecord)
 
 	mu sync.Mutex // guards the fields below
 	// entries maps the ids of incarnations to their entries.
@@ -123,8 +123,8 @@
 func (t *Table) drop(id string) {
 	r := t.entries[id].record
 	t.unindexAddress(r)
-	if t.latestByName[Name(r)] == id {
-		delete(t.latestByName, Name(r))
+	if t.latestByName[ServerName(r)] == id {
+		delete(t.latestByName, ServerName(r))
 	}
 	delete(t.entries, id)
 	t.listCache = nil
@@ -165,7 +165,7 @@
 }
 
 // MarkLeaving marks an incarnation of a server as leaving.
-func (t *Table) Leave(id string, now time.Time) {
+func (t *Table) MarkLeaving(id string, now time.Time) {
 	t.lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -181,7 +181,7 @@
 }
 
 // IsLeaving reports whether an incarnation of a server is known to be leaving.
-func (t *Table) Leaving(id string) bool {
+func (t *Table) IsLeaving(id string) bool {
 	t.lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -190,7 +190,7 @@
 
 // IsExcluded reports whether an incarnation of a server is known to get no new requests: it is
 // leaving, its data hall is vacated, or its version is no longer used.
-func (t *Table) Closed(id string) bool {
+func (t *Table) IsExcluded(id string) bool {
 	t.lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -226,7 +226,7 @@
 
 // Records lists the records of servers that are not known to be leaving, in no order. The
 // records must not be modified.
-func (t *Table) Known() []*wire.ServerRecord {
+func (t *Table) Records() []*wire.ServerRecord {
 	t.lock()
 	defer t.mu.Unlock()
 	var out []*wire.ServerRecord
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -71,10 +71,10 @@
 func TestFollowersReceiveChangesAndNeverGoBack(t *testing.T) {
 	leader, follower := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
 	now := time.Now()
-	leader.Lead("one", now)
+	leader.StartLeading("one", now)
 	sync := func() {
-		r, _ := leader.Since(follower.Position())
-		follower.Take(r, now)
+		r, _ := leader.ChangesSince(follower.Position())
+		follower.Apply(r, now)
 	}
 	mustApplyHeartbeat(t, leader, record("a", 1, ready), now)
 	mustApplyHeartbeat(t, leader, record("b", 1, ready), now)
@@ -82,19 +82,19 @@
 	if d := cmp.Diff([]string{"a", "b"}, ids(follower)); d != "" {
 		t.Fatalf("(-want +got):\n%s", d)
 	}
-	old, _ := leader.Since("", 0)
-	leader.Leave("a", now)
+	old, _ := leader.ChangesSince("", 0)
+	leader.MarkLeaving("a", now)
 	sync()
-	follower.Take(old, now) // a response that was in flight before
+	follower.Apply(old, now) // a response that was in flight before
 	if d := cmp.Diff([]string{"b"}, ids(follower)); d != "" {
 		t.Fatalf("(-want +got):\n%s", d)
 	}
 	// A new leader that has not heard from b yet.
 	next := &Table{Heartbeat: time.Second}
-	next.Lead("two", now)
+	next.StartLeading("two", now)
 	mustApplyHeartbeat(t, next, record("c", 1, ready), now)
-	r, _ := next.Since(follower.Position())
-	follower.Take(r, now)
+	r, _ := next.ChangesSince(follower.Position())
+	follower.Apply(r, now)
 	if d := cmp.Diff([]string{"c"}, ids(follower)); d != "" {
 		t.Fatalf("(-want +got):\n%s", d)
 	}
@@ -102,9 +102,9 @@
 
 func TestChangesSinceNotifiesFollowers(t *testing.T) {
 	table := &Table{Heartbeat: time.Second}
-	table.Lead("one", time.Now())
+	table.StartLeading("one", time.Now())
 	mustApplyHeartbeat(t, table, record("a", 1, ready), time.Now())
-	_, changed := table.Since("one", 1)
+	_, changed := table.ChangesSince("one", 1)
 	mustApplyHeartbeat(t, table, record("a", 2, ready), time.Now())
 	select {
 	case <-changed:
@@ -122,10 +122,10 @@
 func TestHeartbeatsWithoutChanges(t *testing.T) {
 	now := time.Now()
 	leader, other := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
-	leader.Lead("one", now)
+	leader.StartLeading("one", now)
 	mustApplyHeartbeat(t, leader, record("a", 1, ready), now)
-	r, _ := leader.Since(other.Position())
-	other.Take(r, now)
+	r, _ := leader.ChangesSince(other.Position())
+	other.Apply(r, now)
 	tests := []struct {
 		name string
 		beat *wire.ServerRecord
@@ -141,7 +141,7 @@
 		}
 	}
 	late := now.Add(maxMissedHeartbeats*time.Second + time.Millisecond)
-	leader.Alive(&wire.AliveReport{Ids: []string{"a", "none"}, Sequences: []uint64{2, 1}}, late)
+	leader.ApplyAliveReport(&wire.AliveReport{Ids: []string{"a", "none"}, Sequences: []uint64{2, 1}}, late)
 	leader.Sweep(late)
 	if s := leader.Servers("pool", nil)[0].GetState(); s != ready {
 		t.Fatalf("state %s although it is alive", s)
@@ -151,15 +151,15 @@
 func TestChangesOfAnEarlierTermAreDropped(t *testing.T) {
 	now := time.Now()
 	table := &Table{Heartbeat: time.Second}
-	table.Lead("one", now)
+	table.StartLeading("one", now)
 	for i := range 9 {
 		mustApplyHeartbeat(t, table, record(string(rune('a'+i)), 1, ready), now)
 	}
 	// Another node leads for a while, with lower version numbers.
-	table.Take(&wire.FollowReply{History: "two", Version: 2, Whole: true, Servers: []*wire.ServerRecord{record("x", 1, ready)}}, now)
-	table.Lead("three", now)
+	table.Apply(&wire.FollowReply{History: "two", Version: 2, Whole: true, Servers: []*wire.ServerRecord{record("x", 1, ready)}}, now)
+	table.StartLeading("three", now)
 	mustApplyHeartbeat(t, table, record("y", 1, ready), now)
-	r, _ := table.Since("three", 2)
+	r, _ := table.ChangesSince("three", 2)
 	if len(r.GetServers()) != 1 || r.GetServers()[0].GetId() != "y" {
 		t.Fatalf("got %v", r.GetServers())
 	}
@@ -168,13 +168,13 @@
 func TestChangesAreTrimmed(t *testing.T) {
 	leader, follower := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
 	now := time.Now()
-	leader.Lead("one", now)
+	leader.StartLeading("one", now)
 	for i := range 3 {
 		mustApplyHeartbeat(t, leader, record(string(rune('a'+i)), 1, ready), now)
 	}
 	sync := func() *wire.FollowReply {
-		r, _ := leader.Since(follower.Position())
-		follower.Take(r, now)
+		r, _ := leader.ChangesSince(follower.Position())
+		follower.Apply(r, now)
 		return r
 	}
 	sync()
@@ -192,7 +192,7 @@
 	if len(leader.changes) > 200 {
 		t.Fatalf("%d changes retained for 3 records", len(leader.changes))
 	}
-	r, _ := leader.Since("one", 1)
+	r, _ := leader.ChangesSince("one", 1)
 	if !r.GetWhole() || len(r.GetServers()) != 3 {
 		t.Fatalf("a follower far behind gets whole %t, %d records", r.GetWhole(), len(r.GetServers()))
 	}
@@ -203,17 +203,17 @@
 func TestLocalObservationSkipsNoLeaderChange(t *testing.T) {
 	now := time.Now()
 	leader, follower := &Table{Heartbeat: time.Second}, &Table{Heartbeat: time.Second}
-	leader.Lead("h", now)
+	leader.StartLeading("h", now)
 	for _, id := range []string{"a", "b"} {
 		mustApplyHeartbeat(t, leader, &wire.ServerRecord{Id: id, Service: "chat", Sequence: 1}, now)
 	}
 	follow := func() {
 		history, version := follower.Position()
-		r, _ := leader.Since(history, version)
-		follower.Take(r, now)
+		r, _ := leader.ChangesSince(history, version)
+		follower.Apply(r, now)
 	}
 	follow()
-	follower.Leave("a", now)
+	follower.MarkLeaving("a", now)
 	mustApplyHeartbeat(t, leader, &wire.ServerRecord{Id: "c", Service: "chat", Sequence: 1}, now)
 	follow()
 	var got []string
@@ -230,9 +230,9 @@
 func TestRestoredServersAreSilent(t *testing.T) {
 	now := time.Now()
 	table := &Table{Heartbeat: time.Second}
-	table.Leave("gone", now)
-	table.Load([]*wire.ServerRecord{{Id: "gone", Service: "chat"}, {Id: "a", Service: "chat", Sequence: 3}, {Id: "b", Service: "chat", Sequence: 3}}, now)
-	table.Lead("h", now)
+	table.MarkLeaving("gone", now)
+	table.Restore([]*wire.ServerRecord{{Id: "gone", Service: "chat"}, {Id: "a", Service: "chat", Sequence: 3}, {Id: "b", Service: "chat", Sequence: 3}}, now)
+	table.StartLeading("h", now)
 	mustApplyHeartbeat(t, table, &wire.ServerRecord{Id: "a", Service: "chat", Sequence: 4}, now)
 	got := make(map[string]wire.ServerState)
 	for _, r := range table.Servers("chat", nil) {
@@ -306,11 +306,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			start := time.Now()
 			table := &Table{Heartbeat: interval}
-			table.Lead("history", start)
+			table.StartLeading("history", start)
 			for _, e := range tt.events {
 				now := start.Add(e.at * time.Millisecond)
 				if e.forwarded {
-					table.Alive(&wire.AliveReport{Ids: []string{e.beat.GetId()}, Sequences: []uint64{e.beat.GetSequence()}}, now)
+					table.ApplyAliveReport(&wire.AliveReport{Ids: []string{e.beat.GetId()}, Sequences: []uint64{e.beat.GetSequence()}}, now)
 					continue
 				}
 				mustApplyHeartbeat(t, table, e.beat, now)
@@ -339,28 +339,28 @@
 		do       func(t *Table, now time.Time)
 		excluded bool
 	}{
-		{"known as ready", 0, func(t *Table, now time.Time) { t.Take(lists(record("a", 1, ready)), now) }, false},
-		{"observed to be leaving", 0, func(t *Table, now time.Time) { t.Leave("a", now) }, true},
-		{"listed as ready", time.Second, func(t *Table, now time.Time) { t.Take(lists(record("a", 2, ready)), now) }, true},
+		{"known as ready", 0, func(t *Table, now time.Time) { t.Apply(lists(record("a", 1, ready)), now) }, false},
+		{"observed to be leaving", 0, func(t *Table, now time.Time) { t.MarkLeaving("a", now) }, true},
+		{"listed as ready", time.Second, func(t *Table, now time.Time) { t.Apply(lists(record("a", 2, ready)), now) }, true},
 		{"sends heartbeats", time.Second, func(t *Table, now time.Time) { t.Refresh(record("a", 3, ready), now) }, true},
-		{"has responded to a health check", time.Second, func(t *Table, now time.Time) { t.Confirm("a", time.Time{}, now) }, true},
-		{"listed as ready later", 2 * recordRetention, func(t *Table, now time.Time) { t.Forget(now); t.Take(lists(record("a", 9, ready)), now) }, true},
+		{"has responded to a health check", time.Second, func(t *Table, now time.Time) { t.ConfirmAlive("a", time.Time{}, now) }, true},
+		{"listed as ready later", 2 * recordRetention, func(t *Table, now time.Time) { t.Prune(now); t.Apply(lists(record("a", 9, ready)), now) }, true},
 		{"its hall is vacated too", 0, func(t *Table, now time.Time) {
-			t.TakeHalls(&wire.HallStates{Revision: 1, Halls: []*wire.HallState{{Hall: "hall-1", Vacated: true}}}, now)
+			t.ApplyHalls(&wire.HallStates{Revision: 1, Halls: []*wire.HallState{{Hall: "hall-1", Vacated: true}}}, now)
 		}, true},
 	}
 	table := &Table{Heartbeat: time.Second}
 	for _, tt := range steps {
 		now = now.Add(tt.after)
 		tt.do(table, now)
-		if got := table.Closed("a"); got != tt.excluded {
+		if got := table.IsExcluded("a"); got != tt.excluded {
 			t.Errorf("%s: excluded is %v", tt.name, got)
 		}
 	}
 	b := record("b", 1, ready)
 	b.Hall = "hall-1"
-	table.Take(&wire.FollowReply{History: "h", Version: 2, Servers: []*wire.ServerRecord{b}}, now)
-	if !table.Closed("b") || table.Closed("unknown") {
+	table.Apply(&wire.FollowReply{History: "h", Version: 2, Servers: []*wire.ServerRecord{b}}, now)
+	if !table.IsExcluded("b") || table.IsExcluded("unknown") {
 		t.Error("a server of a vacated hall is not excluded, or an unknown one is")
 	}
 }
--- a/internal/registry/versions.go
+++ b/internal/registry/versions.go
@@ -26,7 +26,7 @@
 // ApplyRollouts applies rollouts and returns those that have changed. Rollouts with a revision
 // that is not above the newest are ignored, so that known state never goes back within an
 // incarnation of this process.
-func (t *Table) TakeRollouts(s *wire.Rollouts) (changed []*wire.Rollout) {
+func (t *Table) ApplyRollouts(s *wire.Rollouts) (changed []*wire.Rollout) {
 	t.lock()
 	defer t.mu.Unlock()
 	if s.GetRevision() <= t.rolloutsRevision {
@@ -83,7 +83,7 @@
 
 // CanaryServers lists the servers of a service that get canary requests only, in the same form
 // as Servers.
-func (t *Table) OnTrial(service string, halls []string) []*wire.ServerRecord {
+func (t *Table) CanaryServers(service string, halls []string) []*wire.ServerRecord {
 	return t.list(service, halls, trafficCanary)
 }
 
@@ -119,7 +119,7 @@
 
 // SlotsByVersion returns the slots of a service's ready servers by version. Silent servers are
 // included with no slots.
-func (t *Table) Versions(service string) map[string]uint32 {
+func (t *Table) SlotsByVersion(service string) map[string]uint32 {
 	t.lock()
 	defer t.mu.Unlock()
 	out := make(map[string]uint32)
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -60,13 +60,13 @@
 			}
 			ids(table) // a cached list must be invalidated
 			for _, s := range tt.updates {
-				table.TakeRollouts(s)
+				table.ApplyRollouts(s)
 			}
 			if d := cmp.Diff(tt.use, ids(table)); d != "" {
 				t.Errorf("servers (-want +got):\n%s", d)
 			}
 			var canaries []string
-			for _, r := range table.OnTrial("pool", nil) {
+			for _, r := range table.CanaryServers("pool", nil) {
 				canaries = append(canaries, r.GetId())
 			}
 			if d := cmp.Diff(tt.canaries, canaries); d != "" {
@@ -74,8 +74,8 @@
 			}
 			for id := range versions {
 				used := slices.Contains(tt.use, id) || slices.Contains(tt.canaries, id)
-				if table.Closed(id) == used {
-					t.Errorf("%s: excluded %v, used %v", id, table.Closed(id), used)
+				if table.IsExcluded(id) == used {
+					t.Errorf("%s: excluded %v, used %v", id, table.IsExcluded(id), used)
 				}
 			}
 		})
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -172,7 +172,7 @@
 	defer l.mu.Unlock()
 	return sumachead.Candidate{
 		Server: s.ID, Hall: s.Hall, Address: s.Agent, Epoch: s.Epoch,
-		Load: l.load, LoadAt: l.loadAt, Outstanding: l.outstanding,
+		Load: l.load, LoadAt: l.loadAt, InFlight: l.outstanding,
 	}, !l.down
 }
 
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -48,7 +48,7 @@
 // lacking is the prospect of a backend server for the request: the server that has been
 // silent for the shortest time, or has just refused, is expected to take as long again.
 // Servers that leave do not count.
-func (d *dispatch) lacking() sumachead.Prospect {
+func (d *dispatch) lacking() sumachead.Estimate {
 	latest := d.refusedAt
 	if pool := d.follower.View().Pool(d.x.pool.ID); pool != nil {
 		latest = d.links.silentSince(pool, latest)
--- a/internal/upstream/check.go
+++ b/internal/upstream/check.go
@@ -14,8 +14,8 @@
 
 // Check asks a server for its health on a new connection, and returns the response of the
 // incarnation at its address. It returns an error if none responds, or one that is unhealthy.
-func (p *Pool) Check(ctx context.Context, s Server, path string) (sumachead.HealthAnswer, error) {
-	var none sumachead.HealthAnswer
+func (p *Pool) Check(ctx context.Context, s Server, path string) (sumachead.HealthResponse, error) {
+	var none sumachead.HealthResponse
 	if p.OnDial != nil {
 		p.OnDial()
 	}
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -44,7 +44,7 @@
 type Response struct {
 	Status int
 	Header http.Header
-	Head   sumachead.AnswerHead
+	Head   sumachead.ResponseHead
 
 	body   io.ReadCloser
 	pool   *Pool
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -24,12 +24,12 @@
 	h.Set("X-Request", string(r.ID))
 }
 
-func (testDialect) Health(_ int, h http.Header, _ time.Time) sumachead.HealthAnswer {
-	return sumachead.HealthAnswer{Server: sumachead.ServerID(h.Get("X-Server"))}
+func (testDialect) Health(_ int, h http.Header, _ time.Time) sumachead.HealthResponse {
+	return sumachead.HealthResponse{Server: sumachead.ServerID(h.Get("X-Server"))}
 }
 
-func (testDialect) Decode(status int, h http.Header, _ time.Time) sumachead.AnswerHead {
-	return sumachead.AnswerHead{
+func (testDialect) Decode(status int, h http.Header, _ time.Time) sumachead.ResponseHead {
+	return sumachead.ResponseHead{
 		ID: sumachead.RequestID(h.Get("X-Request")), NotRun: h.Get("X-Not-Run") != "",
 		Failed: status >= http.StatusInternalServerError, Stale: status == http.StatusMisdirectedRequest,
 		ServerNotice: sumachead.ServerNotice{Leaving: h.Get("X-Leaving") != ""},
