--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -85,7 +85,7 @@
 func (s *Server) Run(ctx context.Context) error {
 	s.conns = make(map[net.Conn]*connection)
 	h := &telemetry.HTTPServer{
-		Address: s.Address, Handler: s.Handler, Listen: s.Listen, Drain: s.Finish, BreakOff: true, ConnState: s.connState,
+		Address: s.Address, Handler: s.Handler, ListenConfig: s.Listen, Drain: s.Finish, ForceClose: true, ConnState: s.connState,
 	}
 	return h.Run(ctx)
 }
--- a/internal/telemetry/clock.go
+++ b/internal/telemetry/clock.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	// clockEvery is how often the time of day is compared with the steady clock.
-	clockEvery = 5 * time.Second
-	// jumpFrom is the least difference that is told: far more than clocks are
-	// slewed by, and less than what confuses a reader of logs.
-	jumpFrom = 250 * time.Millisecond
+	// clockCheckInterval is the interval between comparisons of the wall clock with the
+	// monotonic clock.
+	clockCheckInterval = 5 * time.Second
+	// minClockJump is the smallest jump that is logged: far more than clocks are
+	// slewed by, and less than what would confuse a reader of logs.
+	minClockJump = 250 * time.Millisecond
 )
 
-// clockWatch compares the time of day with the steady clock.
-type clockWatch struct {
-	// offset is the time of day minus the steady clock as of the last look.
+// clockMonitor detects jumps of the wall clock relative to the monotonic clock.
+type clockMonitor struct {
+	// offset is the wall clock minus the monotonic clock at the last check.
 	offset time.Duration
 }
 
-// jumped returns by how much the time of day has jumped since the last look; 0 for
-// no jump. The steady time may count from any moment, but always from the same.
-func (c *clockWatch) jumped(wall time.Time, steady time.Duration) time.Duration {
-	offset := time.Duration(wall.UnixNano()) - steady
-	by := offset - c.offset
+// detectJump returns how far the wall clock has jumped since the last check; 0 for
+// no jump. The monotonic time may count from any moment, but always from the same.
+func (c *clockMonitor) detectJump(wall time.Time, monotonic time.Duration) time.Duration {
+	offset := time.Duration(wall.UnixNano()) - monotonic
+	jump := offset - c.offset
 	c.offset = offset
-	if by.Abs() < jumpFrom {
+	if jump.Abs() < minClockJump {
 		return 0
 	}
-	return by
+	return jump
 }
 
-// WatchClock logs jumps of the time of day until ctx ends: the times that log lines
-// and other hosts' lines carry can't be compared across one.
+// WatchClock logs jumps of the wall clock until ctx ends: timestamps of log lines, also
+// those of other hosts, can't be compared across a jump.
 func WatchClock(ctx context.Context, log hclog.Logger) error {
-	begun := time.Now()
-	w := &clockWatch{offset: time.Duration(begun.UnixNano())} // the steady clock counts from begun
-	return loop.Every(ctx, clockEvery, func() {
+	start := time.Now()
+	w := &clockMonitor{offset: time.Duration(start.UnixNano())} // the monotonic time counts from start
+	return loop.Every(ctx, clockCheckInterval, func() {
 		now := time.Now()
-		if by := w.jumped(now, now.Sub(begun)); by != 0 {
-			log.Warn("The time of day has jumped.", "by", by)
+		if jump := w.detectJump(now, now.Sub(start)); jump != 0 {
+			log.Warn("Wall clock jumped.", "by", jump)
 		}
 	})
 }
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -7,67 +7,67 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// linesASecond is how many lines of one kind a process writes in a second: more
-// than it does at its usual load, and cheap to write.
-const linesASecond = 20
+// defaultLinesPerSecond is the default limit for each message. It is more than a process
+// writes at its usual load, and cheap to write.
+const defaultLinesPerSecond = 20
 
-// Lines bounds the lines of a part by kind: above a rate, lines of a kind are
-// left out, and the next one that is written tells how many were. A kind is the
-// message. It is safe for concurrent use.
+// LogLimiter limits the rate of log lines with the same message: lines above the rate
+// are suppressed, and the next line written has the number of them in its field
+// left_out. It is safe for concurrent use.
 type Lines struct {
-	// PerSecond is the bound for each kind; 0 for the usual one.
+	// PerSecond is the limit for each message; 0 for the default.
 	PerSecond int
 
-	mu    sync.Mutex // guards kinds
-	kinds map[string]*lineCount
+	mu     sync.Mutex // guards counts
+	counts map[string]*lineCount
 }
 
-// lineCount counts lines of one kind.
+// lineCount counts the lines with one message.
 type lineCount struct {
-	// second is the Unix second that written is about.
+	// second is the Unix second that written refers to.
 	second  int64
 	written int
-	// left is how many were left out since the last that was written.
-	left int
+	// suppressed counts the lines suppressed since the last one written.
+	suppressed int
 }
 
-// take reports whether a line of a kind may be written now, and how many were
-// left out since the last.
-func (l *Lines) take(kind string, now time.Time) (left int, ok bool) {
-	most := l.PerSecond
-	if most == 0 {
-		most = linesASecond
+// allow reports whether a line with this message may be written now, and how many were
+// suppressed since the last one written.
+func (l *Lines) allow(message string, now time.Time) (suppressed int, ok bool) {
+	limit := l.PerSecond
+	if limit == 0 {
+		limit = defaultLinesPerSecond
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.kinds == nil {
-		l.kinds = make(map[string]*lineCount)
+	if l.counts == nil {
+		l.counts = make(map[string]*lineCount)
 	}
-	c := l.kinds[kind]
+	c := l.counts[message]
 	if c == nil {
 		c = &lineCount{}
-		l.kinds[kind] = c
+		l.counts[message] = c
 	}
 	if s := now.Unix(); s != c.second {
 		c.second, c.written = s, 0
 	}
-	if c.written >= most {
-		c.left++
+	if c.written >= limit {
+		c.suppressed++
 		return 0, false
 	}
 	c.written++
-	left, c.left = c.left, 0
-	return left, true
+	suppressed, c.suppressed = c.suppressed, 0
+	return suppressed, true
 }
 
-// Info writes a line unless there were too many of its kind.
+// Info logs a line unless its message is over the limit.
 func (l *Lines) Info(log hclog.Logger, message string, fields ...any) {
-	left, ok := l.take(message, time.Now())
+	suppressed, ok := l.allow(message, time.Now())
 	if !ok {
 		return
 	}
-	if left > 0 {
-		fields = append(fields, "left_out", left)
+	if suppressed > 0 {
+		fields = append(fields, "left_out", suppressed)
 	}
 	log.Info(message, fields...)
 }
--- a/internal/telemetry/lines_test.go
+++ b/internal/telemetry/lines_test.go
@@ -10,23 +10,23 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-func TestLinesAreBoundedByKind(t *testing.T) {
+func TestLogLimiterLimitsEachMessage(t *testing.T) {
 	var out bytes.Buffer
 	log := hclog.New(&hclog.LoggerOptions{Output: &out, JSONFormat: true})
 	l := &Lines{PerSecond: 3}
 	at := time.Unix(100, 0)
 	written := 0
 	for range 50 {
-		if _, ok := l.take("served", at); ok {
+		if _, ok := l.allow("served", at); ok {
 			written++
 		}
 	}
-	if _, ok := l.take("refused", at); !ok || written != 3 {
-		t.Fatalf("%d lines of a kind, another kind written: %t", written, ok)
+	if _, ok := l.allow("refused", at); !ok || written != 3 {
+		t.Fatalf("%d lines with the same message, another message written: %t", written, ok)
 	}
-	left, ok := l.take("served", at.Add(time.Second))
-	if !ok || left != 47 {
-		t.Fatalf("written %t, %d left out", ok, left)
+	suppressed, ok := l.allow("served", at.Add(time.Second))
+	if !ok || suppressed != 47 {
+		t.Fatalf("written %t, %d suppressed", ok, suppressed)
 	}
 	l.Info(log, "other", "field", 1)
 	if !strings.Contains(out.String(), "other") {
@@ -34,48 +34,48 @@
 	}
 }
 
-// stuck is an output that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output that nobody reads until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-func TestStoppedReaderHoldsNothingUp(t *testing.T) {
-	s := &stuck{release: make(chan struct{})}
+func TestBlockedReaderDoesNotBlockWrites(t *testing.T) {
+	s := &blockedWriter{release: make(chan struct{})}
 	q := NewQueuedWriter(s)
-	begun := time.Now()
-	for range 10 * queuedLines {
+	start := time.Now()
+	for range 10 * maxQueuedLines {
 		if _, err := q.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if d := time.Since(begun); d > time.Second {
+	if d := time.Since(start); d > time.Second {
 		t.Fatalf("writing took %v", d)
 	}
-	// All but what waits in the queue and in the batch that is being written.
-	if least := int64(9*queuedLines - batchBytes/len("line\n") - 1); q.total.Load() < least {
-		t.Fatalf("%d lines dropped, want %d at least", q.total.Load(), least)
+	// All but the lines in the queue and in the batch that is being written.
+	if minDropped := int64(9*maxQueuedLines - targetBatchBytes/len("line\n") - 1); q.total.Load() < minDropped {
+		t.Fatalf("%d lines dropped, want at least %d", q.total.Load(), minDropped)
 	}
 	close(s.release)
 	q.Close()
 }
 
-func TestDroppedLinesAreTold(t *testing.T) {
+func TestDroppedLinesAreReported(t *testing.T) {
 	var out bytes.Buffer
-	s := &stuck{release: make(chan struct{})}
+	s := &blockedWriter{release: make(chan struct{})}
 	q := NewQueuedWriter(writerFunc(func(p []byte) (int, error) {
 		<-s.release
 		return out.Write(p)
 	}))
-	for range 2 * queuedLines {
+	for range 2 * maxQueuedLines {
 		_, _ = q.Write([]byte("line\n"))
 	}
 	close(s.release)
 	q.Close()
 	if !strings.Contains(out.String(), "Log lines were dropped.") {
-		t.Fatal("nothing tells that lines were dropped")
+		t.Fatal("dropped lines are not reported")
 	}
 }
 
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// queuedLines is how many lines may wait for a slow reader.
-	queuedLines = 2048
-	// batchBytes is from how many bytes on a write takes no further lines.
-	batchBytes = 8 << 10
-	// flushTimeout bounds the wait for a reader at the end of a process.
+	// maxQueuedLines limits the lines that wait for a slow reader.
+	maxQueuedLines = 2048
+	// targetBatchBytes is the size from which no further lines are added to a write.
+	targetBatchBytes = 8 << 10
+	// flushTimeout limits the wait for the reader when the process ends.
 	flushTimeout = 300 * time.Millisecond
 )
 
-// QueuedWriter passes lines on without ever holding its caller up: what a slow
-// reader does not take in is dropped and counted. It implements io.Writer.
+// QueuedWriter writes lines asynchronously and never blocks its caller: lines that
+// exceed the queue of a slow reader are dropped and counted. It implements io.Writer.
 type QueuedWriter struct {
 	lines chan []byte
-	// dropped counts lines since the last one that told of it, total all.
+	// dropped counts the dropped lines that are not yet reported, total all of them.
 	dropped atomic.Int64
 	total   atomic.Int64
-	// stop is closed by Close, done when the last line has been passed on.
+	// stop is closed by Close, done when the last line has been written.
 	stop  chan struct{}
 	done  chan struct{}
 	close sync.Once
 }
 
-// NewQueuedWriter returns a writer in front of w.
+// NewQueuedWriter returns a writer that queues lines for w.
 func NewQueuedWriter(w io.Writer) *QueuedWriter {
-	q := &QueuedWriter{lines: make(chan []byte, queuedLines), stop: make(chan struct{}), done: make(chan struct{})}
+	q := &QueuedWriter{lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go q.run(w)
 	return q
 }
 
-// Write implements io.Writer; a call is one line.
+// Write implements io.Writer; each call must write one line.
 func (q *QueuedWriter) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -50,7 +50,7 @@
 	return len(line), nil
 }
 
-// run passes lines on until the writer is closed and nothing waits.
+// run writes queued lines until the writer is closed and the queue is empty.
 func (q *QueuedWriter) run(w io.Writer) {
 	defer close(q.done)
 	for {
@@ -58,19 +58,19 @@
 		if !ok {
 			return
 		}
-		for len(line) < batchBytes && len(q.lines) > 0 {
+		for len(line) < targetBatchBytes && len(q.lines) > 0 {
 			line = append(line, <-q.lines...)
 		}
 		if n := q.dropped.Swap(0); n > 0 {
 			line = fmt.Appendf(line, "{\"@message\":\"Log lines were dropped.\",\"lines\":%d}\n", n)
 		}
 		if _, err := w.Write(line); err != nil {
-			return // nobody reads; later lines are dropped by a full queue
+			return // the reader is gone; the queue fills up and later lines are dropped
 		}
 	}
 }
 
-// next waits for a line; ok is false once the writer is closed and none waits.
+// next waits for a line; ok is false once the writer is closed and the queue is empty.
 func (q *QueuedWriter) next() (line []byte, ok bool) {
 	select {
 	case line := <-q.lines:
@@ -85,15 +85,15 @@
 	}
 }
 
-// Dropped tells to Prometheus how many lines a slow reader has cost.
+// DroppedLinesCounter returns the Prometheus counter of dropped lines.
 func (q *QueuedWriter) Dropped() prometheus.Collector {
 	return prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "sumachead_log_lines_dropped_total", Help: "Log lines that were dropped because the reader of the output was slow.",
 	}, func() float64 { return float64(q.total.Load()) })
 }
 
-// Close passes on what waits, within a short time. What goroutines that still run
-// write afterwards is dropped.
+// Close flushes the queue, but waits for at most flushTimeout. Lines that goroutines
+// write afterwards are dropped.
 func (q *QueuedWriter) Close() {
 	q.close.Do(func() { close(q.stop) })
 	select {
--- a/internal/telemetry/server_test.go
+++ b/internal/telemetry/server_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// freeAddress returns an address of this host that nobody listens on.
+// freeAddress returns a loopback address that nobody listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,20 +19,20 @@
 	return lis.Addr().String()
 }
 
-func TestServerBreaksOffOnlyWhereItIsAskedTo(t *testing.T) {
+func TestServerForceClosesOnlyIfConfigured(t *testing.T) {
 	tests := []struct {
-		name     string
-		breakOff bool
+		name       string
+		forceClose bool
 	}{
-		{"an error where requests must finish", false},
-		{"broken off", true},
+		{"error without force close", false},
+		{"force close", true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			entered, release := make(chan struct{}), make(chan struct{})
 			defer close(release)
 			s := &HTTPServer{
-				Address: freeAddress(t), Drain: 20 * time.Millisecond, BreakOff: tt.breakOff,
+				Address: freeAddress(t), Drain: 20 * time.Millisecond, ForceClose: tt.forceClose,
 				Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 					close(entered)
 					<-release
@@ -45,25 +45,25 @@
 			go func() { answered <- get(s.Address) }()
 			<-entered
 			stop()
-			if err := <-ended; (err == nil) != tt.breakOff {
-				t.Fatalf("the server ended with %v", err)
+			if err := <-ended; (err == nil) != tt.forceClose {
+				t.Fatalf("Run returned %v", err)
 			}
-			if !tt.breakOff {
+			if !tt.forceClose {
 				return
 			}
 			select {
 			case err := <-answered:
 				if err == nil {
-					t.Fatal("a request that was broken off looks answered")
+					t.Fatal("an aborted request got a response")
 				}
 			case <-time.After(5 * time.Second):
-				t.Fatal("the request was not broken off")
+				t.Fatal("the request was not aborted")
 			}
 		})
 	}
 }
 
-// get asks until the server listens, and returns how its answer failed.
+// get waits until the server listens, sends a request and returns its error.
 func get(address string) error {
 	for {
 		conn, err := net.Dial("tcp", address)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,7 +1,7 @@
-// Package telemetry serves health and metrics, and makes the logs of all
-// roles alike. A [QueuedWriter] keeps a slow reader of the log from holding up
-// the process; [Lines] bounds how many lines of one kind there are; [WatchClock]
-// tells of jumps of the time of day, across which logs can't be compared.
+// Package telemetry serves health checks and metrics, and sets up logging for
+// all roles. A [QueuedWriter] keeps a slow reader of the log from blocking
+// the process; a [LogLimiter] limits the rate of lines with the same message;
+// [WatchClock] logs jumps of the wall clock, across which logs can't be compared.
 package telemetry
 
 import (
@@ -21,15 +21,16 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// headerTimeout bounds how long the headers of a request may take on any connection,
-// also where [HTTPServer.ConnState] closes connections by other limits.
+// headerTimeout limits the time to read a request's headers on any connection, also if
+// [HTTPServer.ConnState] closes connections by other limits.
 const headerTimeout = 10 * time.Second
 
-// DrainMonitoring is the Drain of a server of health and metrics alone.
+// MonitoringDrainTimeout is the DrainTimeout of servers that serve only health checks and
+// metrics.
 const DrainMonitoring = time.Second
 
-// NewLogger returns the root logger of a process. Each part of the process has
-// a name of its own, which stands before its lines.
+// NewLogger returns the root logger of a process. Each component logs under a name of
+// its own, which prefixes its lines.
 func NewLogger(w io.Writer, level, node string) hclog.Logger {
 	if level == "" {
 		level = "info"
@@ -60,14 +61,14 @@
 	m.Handle("/metrics", promhttp.HandlerFor(r, promhttp.HandlerOpts{}))
 }
 
-// Handler returns a mux with nothing but Mount's paths.
+// Handler returns a handler that serves only the paths of Mount.
 func Handler(r *prometheus.Registry, ready func() error) http.Handler {
 	m := chi.NewRouter()
 	Mount(m, r, ready)
 	return m
 }
 
-// HTTPServer serves a handler until its context ends, then finishes the
+// HTTPServer serves a handler until its context ends, then waits for the
 // requests in flight. Set the fields before Run.
 type HTTPServer struct {
 	// Address is host:port.
@@ -75,21 +76,22 @@
 	// TLS is nil for plain HTTP.
 	TLS     *tls.Config
 	Handler http.Handler
-	// Listen makes the listener; nil for one with Go's own settings.
-	Listen *net.ListenConfig
-	// Idle is how long a connection may rest; 0 for no bound.
-	Idle time.Duration
-	// ConnState is told of each connection's state; nil for nobody.
+	// ListenConfig creates the listener; nil for Go's defaults.
+	ListenConfig *net.ListenConfig
+	// IdleTimeout limits how long a connection may be idle; 0 for no limit.
+	IdleTimeout time.Duration
+	// ConnState is called on each change of a connection's state; it may be nil.
 	ConnState func(net.Conn, http.ConnState)
-	// Drain bounds how long requests in flight may take to finish.
+	// DrainTimeout limits how long requests in flight may take to finish.
 	Drain time.Duration
-	// BreakOff: requests that take longer are broken off, which is no error.
-	BreakOff bool
+	// ForceClose closes the connections of requests that take longer; otherwise Run
+	// returns an error for them.
+	ForceClose bool
 }
 
 // Run serves until ctx ends.
 func (s *HTTPServer) Run(ctx context.Context) error {
-	listen := s.Listen
+	listen := s.ListenConfig
 	if listen == nil {
 		listen = &net.ListenConfig{}
 	}
@@ -100,7 +102,7 @@
 	if s.TLS != nil {
 		lis = tls.NewListener(lis, s.TLS)
 	}
-	server := &http.Server{Handler: s.Handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: s.Idle, ConnState: s.ConnState}
+	server := &http.Server{Handler: s.Handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: s.IdleTimeout, ConnState: s.ConnState}
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(lis) }()
 	select {
@@ -111,11 +113,11 @@
 	stopCtx, cancel := context.WithTimeout(context.Background(), s.Drain)
 	defer cancel()
 	err = server.Shutdown(stopCtx)
-	if err != nil && !s.BreakOff {
+	if err != nil && !s.ForceClose {
 		return trace.Wrap(err, "finishing requests in flight")
 	}
 	if err != nil {
-		_ = server.Close() // what is left is broken off
+		_ = server.Close() // aborts the remaining requests
 	}
 	if err := <-done; !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
