--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain tells one request's story from log files: the lines about the
-// request in order, and before each what its process believed then.
+// Package explain reconstructs the timeline of a request from log files: the lines about
+// the request in order, each preceded by the state that its process had logged by then.
 package explain
 
 import (
@@ -15,19 +15,18 @@
 	"github.com/gravitational/trace"
 )
 
-// messageStarting is the first line of each life of a process.
+// messageStarting is the first message of each incarnation of a process.
 const messageStarting = "Starting."
 
-// maxLine bounds one line of a log.
-const maxLine = 1 << 20
+// maxLineBytes limits one line of a log.
+const maxLineBytes = 1 << 20
 
-// fieldServer names the backend server that a line is about.
+// fieldServer is the field with the backend server that a line is about.
 const fieldServer = "server"
 
-// beliefs are the messages that change what a process believes, as it logs them,
-// with the field that tells them apart where one message speaks of several
-// things.
-var beliefs = map[string]string{
+// stateMessages are the log messages about changes of the state that a process acts on,
+// each with the field that identifies its subject; empty if the message has only one.
+var stateMessages = map[string]string{
 	messageStarting:                                      "",
 	"A declaration is in force.":                         "",
 	"The leading keeper is found.":                       "",
@@ -46,27 +45,27 @@
 	"No longer leading.": "",
 }
 
-// Line is one line of a log.
+// Line is one parsed log line.
 type Line struct {
 	At time.Time
-	// Module is the name of the process and its parts, with dots between.
+	// Module is the names of the process and of its components, separated by dots.
 	Module  string
 	Message string
-	// Fields are the others.
+	// Fields are all other fields of the line.
 	Fields map[string]any
 }
 
-// process returns the name of the process that wrote the line.
-func (l *Line) process() string {
+// processName returns the name of the process that wrote the line.
+func (l *Line) processName() string {
 	name, _, _ := strings.Cut(l.Module, ".")
 	return name
 }
 
-// Read reads the lines of one log. What stands before the object of a line, such
-// as a collector's own time and host, is passed over; so is a line without one.
+// Read parses the lines of one log. It ignores what precedes the JSON object of a line,
+// such as the time and host that a log collector adds, and lines without an object.
 func Read(r io.Reader) ([]Line, error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	var lines []Line
 	for s.Scan() {
 		start := strings.IndexByte(s.Text(), '{')
@@ -75,18 +74,18 @@
 		}
 		var fields map[string]any
 		if json.Unmarshal(s.Bytes()[start:], &fields) != nil {
-			continue // not a line of ours
+			continue // not a log line of this project
 		}
-		if l, ok := newLine(fields); ok {
+		if l, ok := parseLine(fields); ok {
 			lines = append(lines, l)
 		}
 	}
 	return lines, trace.Wrap(s.Err())
 }
 
-// newLine takes the time, module and message out of the fields of a line; ok is
-// false for one that lacks its time or message.
-func newLine(fields map[string]any) (l Line, ok bool) {
+// parseLine extracts the time, module and message from the fields of a line; ok is
+// false if the line lacks its time or message.
+func parseLine(fields map[string]any) (l Line, ok bool) {
 	l.Fields = fields
 	l.Module, _ = fields["@module"].(string)
 	l.Message, _ = fields["@message"].(string)
@@ -101,74 +100,75 @@
 	return l, err == nil && l.Message != ""
 }
 
-// Story writes the story of a request to w: its lines in order, and before each
-// the beliefs of the process that wrote it, as far as they bear on the request.
-// The clocks of processes may differ; the order within one process is exact.
+// WriteTimeline writes the timeline of a request to w: its lines in order, each preceded
+// by the last logged state of the process that wrote it, and by that of other processes
+// about the same server or workspace. The clocks of processes may differ, so only the
+// order within one process is exact.
 func Story(w io.Writer, lines []Line, request string) error {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	held := make(map[string]map[string]Line)
+	states := make(map[string]map[string]Line)
 	found := false
 	for _, l := range lines {
-		if about, ok := beliefs[l.Message]; ok {
-			note(held, l, about)
+		if field, ok := stateMessages[l.Message]; ok {
+			recordState(states, l, field)
 		}
 		if l.Fields["request"] != request {
 			continue
 		}
 		found = true
-		if err := tell(w, l, held); err != nil {
+		if err := writeLine(w, l, states); err != nil {
 			return trace.Wrap(err)
 		}
 	}
 	if !found {
-		return trace.NotFound("no line is about request %q; above a rate, lines of served requests are left out", request)
+		return trace.NotFound("no log line is about request %q; lines of served requests are suppressed above a rate limit", request)
 	}
 	return nil
 }
 
-// note keeps the newest line of each belief of a process. What the leading keeper
-// believes of a server or a workspace bears on requests elsewhere as well.
-func note(held map[string]map[string]Line, l Line, about string) {
-	p := l.process()
-	if held[p] == nil || l.Message == messageStarting { // a new process believes nothing yet
-		held[p] = make(map[string]Line)
+// recordState keeps the latest line of each state message and subject of a process. State
+// of the leading keeper about a server or workspace is also relevant to other processes.
+func recordState(states map[string]map[string]Line, l Line, field string) {
+	p := l.processName()
+	if states[p] == nil || l.Message == messageStarting { // a new process has no state yet
+		states[p] = make(map[string]Line)
 	}
-	held[p][fmt.Sprint(l.Message, "/", l.Fields[about])] = l
+	states[p][fmt.Sprint(l.Message, "/", l.Fields[field])] = l
 }
 
-// tell writes one line of the story with the beliefs that bear on it.
-func tell(w io.Writer, l Line, held map[string]map[string]Line) error {
-	var bearing []Line
-	for process, kept := range held {
-		for _, b := range kept {
-			if process == l.process() || bears(b, l) {
-				bearing = append(bearing, b)
+// writeLine writes one line of the timeline, preceded by the relevant state.
+func writeLine(w io.Writer, l Line, states map[string]map[string]Line) error {
+	var relevant []Line
+	for process, messages := range states {
+		for _, state := range messages {
+			if process == l.processName() || sameSubject(state, l) {
+				relevant = append(relevant, state)
 			}
 		}
 	}
-	slices.SortFunc(bearing, func(a, b Line) int { return a.At.Compare(b.At) })
-	for _, b := range bearing {
-		if _, err := fmt.Fprintf(w, "    %8.3fs before, %s: %s %s\n", l.At.Sub(b.At).Seconds(), b.process(), b.Message, b.text()); err != nil {
+	slices.SortFunc(relevant, func(a, b Line) int { return a.At.Compare(b.At) })
+	for _, state := range relevant {
+		if _, err := fmt.Fprintf(w, "    %8.3fs before, %s: %s %s\n", l.At.Sub(state.At).Seconds(), state.processName(), state.Message, state.formatFields()); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "%s %s: %s %s\n", l.At.Format(time.RFC3339Nano), l.process(), l.Message, l.text())
+	_, err := fmt.Fprintf(w, "%s %s: %s %s\n", l.At.Format(time.RFC3339Nano), l.processName(), l.Message, l.formatFields())
 	return err
 }
 
-// bears reports whether a belief of another process is about the same server or
-// workspace as a line.
-func bears(belief, l Line) bool {
+// sameSubject reports whether a state line of another process is about the same server
+// or workspace as a line.
+func sameSubject(state, l Line) bool {
 	for _, name := range []string{fieldServer, "workspace"} {
-		if v, ok := belief.Fields[name]; ok && v != "" && v == l.Fields[name] {
+		if v, ok := state.Fields[name]; ok && v != "" && v == l.Fields[name] {
 			return true
 		}
 	}
 	return false
 }
 
-// text returns the fields in a fixed order.
-func (l *Line) text() string {
+// formatFields returns the fields sorted by name.
+func (l *Line) formatFields() string {
 	names := make([]string, 0, len(l.Fields))
 	for n := range l.Fields {
 		names = append(names, n)
@@ -176,13 +176,14 @@
 	slices.SortFunc(names, cmp.Compare[string])
 	var b strings.Builder
 	for _, n := range names {
-		_, _ = fmt.Fprintf(&b, "%s=%v ", n, l.value(n)) // a builder takes everything
+		_, _ = fmt.Fprintf(&b, "%s=%v ", n, l.formatValue(n)) // writing to a strings.Builder never fails
 	}
 	return strings.TrimSpace(b.String())
 }
 
-// value returns a field; spans, which are logged in nanoseconds, are readable.
-func (l *Line) value(name string) any {
+// formatValue returns a field's value; durations, which are logged in nanoseconds, are
+// converted.
+func (l *Line) formatValue(name string) any {
 	v := l.Fields[name]
 	switch name {
 	case "after", "first", "pause", "expected", "backlog", "told":
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -8,7 +8,7 @@
 	"github.com/gravitational/trace"
 )
 
-const log = `   1.2000 router-1 {"@level":"info","@message":"A declaration is in force.","@module":"router-1.gateway.follow","@timestamp":"2026-01-01T10:00:01Z","number":7}
+const testLog = `   1.2000 router-1 {"@level":"info","@message":"A declaration is in force.","@module":"router-1.gateway.follow","@timestamp":"2026-01-01T10:00:01Z","number":7}
 noise without an object
 {"@level":"info","@message":"The leading keeper is found.","@module":"router-1.gateway.follow","@timestamp":"2026-01-01T10:00:02Z","address":"10.0.0.1:1","relay":""}
 {"@level":"info","@message":"A backend server leaves.","@module":"core-1.keeper","@timestamp":"2026-01-01T10:00:03Z","server":"i-1"}
@@ -17,8 +17,8 @@
 {"@level":"info","@message":"A request is served.","@module":"router-1.gateway","@timestamp":"2026-01-01T10:00:06Z","request":"q2","server":"i-3"}
 `
 
-func TestStory(t *testing.T) {
-	lines, err := Read(strings.NewReader(log))
+func TestWriteTimeline(t *testing.T) {
+	lines, err := Read(strings.NewReader(testLog))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,6 +35,6 @@
 		t.Fatalf("(-want +got):\n%s", d)
 	}
 	if err := Story(&got, lines, "none"); !trace.IsNotFound(err) {
-		t.Fatalf("a request without lines: %v", err)
+		t.Fatalf("error %v for a request without lines, want not found", err)
 	}
 }
