--- a/internal/intake/body.go
+++ b/internal/intake/body.go
@@ -12,46 +12,46 @@
 )
 
 const (
-	// comeBack is how long a caller that was refused for want of memory should wait:
-	// some bodies are done with by then.
-	comeBack = 300 * time.Millisecond
-	// firstRoom is the room in bytes for a body whose length is not told, which is
-	// doubled as need be.
-	firstRoom = 16 << 10
+	// memoryRetryDelay is the time until the retry of a caller that was refused for lack
+	// of memory: some bodies are released by then.
+	memoryRetryDelay = 300 * time.Millisecond
+	// initialBufferBytes is the initial buffer size for a body of unknown length; the
+	// buffer doubles as needed.
+	initialBufferBytes = 16 << 10
 )
 
-// Memory bounds the bytes of bodies that are held at a time.
-type Memory struct {
-	// Most is the bound in bytes; 0 for none.
-	Most int64
+// BodyMemory limits the bytes reserved for request bodies at a time.
+type BodyMemory struct {
+	// MaxBytes is the limit; 0 for no limit.
+	MaxBytes int64
 
-	held atomic.Int64
+	reserved atomic.Int64
 }
 
-// Body is a body that was read whole.
+// Body is a request body that was read completely.
 type Body struct {
 	Data []byte
-	// HeaderBytes is the size of the request's line and headers as they were sent.
+	// HeaderBytes is the size of the request line and headers as sent.
 	HeaderBytes int64
 
-	memory *Memory
-	// size is how many bytes are counted for it.
-	size int64
+	memory *BodyMemory
+	// reserved is the number of bytes reserved in memory for this body.
+	reserved int64
 }
 
-// Release gives the body's memory back. It may be called once.
-func (b *Body) Release() { b.memory.held.Add(-b.size) }
+// Release releases the body's memory. It must be called only once.
+func (b *Body) Release() { b.memory.reserved.Add(-b.reserved) }
 
-// Read reads a request's body, if its headers and the body are within the limits. The
-// error is a [*sumachead.Refusal]; nothing is held then.
-func (m *Memory) Read(r *http.Request, l Limits) (*Body, error) {
-	l = l.orDefault()
+// Read reads a request's body if its headers and the body are within the limits. An
+// error is a [*sumachead.Refusal]; no memory stays reserved then.
+func (m *BodyMemory) Read(r *http.Request, l Limits) (*Body, error) {
+	l = l.withDefaults()
 	n := headerSize(r)
 	if n > l.HeaderBytes {
 		return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonHeadersTooLarge, "the headers are too large", time.Time{})
 	}
 	if r.ContentLength > l.BodyBytes {
-		return nil, tooLarge()
+		return nil, refuseTooLarge()
 	}
 	b := &Body{HeaderBytes: n, memory: m}
 	if r.ContentLength == 0 {
@@ -64,28 +64,28 @@
 	return b, nil
 }
 
-// read reads to the end, or until there are more than most bytes. The length is below
-// 0 when it was not told. What is counted after an error is given back by Release.
-func (b *Body) read(from io.Reader, length, most int64) error {
-	size := int64(firstRoom)
+// read reads to the end, or until there are more than maxBytes. The length is below 0 if
+// it is unknown. After an error, the caller must call Release.
+func (b *Body) read(from io.Reader, length, maxBytes int64) error {
+	size := int64(initialBufferBytes)
 	if length >= 0 {
-		size = length + 1 // room to see the end
+		size = length + 1 // one more byte to detect the end
 	}
-	if err := b.grow(size); err != nil {
+	if err := b.reserve(size); err != nil {
 		return err
 	}
 	b.Data = make([]byte, 0, size)
 	for {
 		if len(b.Data) == cap(b.Data) {
-			if err := b.grow(int64(cap(b.Data))); err != nil {
+			if err := b.reserve(int64(cap(b.Data))); err != nil {
 				return err
 			}
 			b.Data = slices.Grow(b.Data, cap(b.Data))
 		}
 		n, err := from.Read(b.Data[len(b.Data):cap(b.Data)])
 		b.Data = b.Data[:len(b.Data)+n]
-		if int64(len(b.Data)) > most {
-			return tooLarge()
+		if int64(len(b.Data)) > maxBytes {
+			return refuseTooLarge()
 		}
 		switch {
 		case errors.Is(err, io.EOF):
@@ -96,24 +96,24 @@
 	}
 }
 
-// grow counts n bytes more, also where the error says that they are too many.
-func (b *Body) grow(n int64) error {
-	b.size += n
-	if held := b.memory.held.Add(n); b.memory.Most > 0 && held > b.memory.Most {
-		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonRouterFull, "callers' bodies take all memory that they may", time.Now().Add(comeBack))
+// reserve reserves n more bytes, even if it returns an error because they exceed the limit.
+func (b *Body) reserve(n int64) error {
+	b.reserved += n
+	if reserved := b.memory.reserved.Add(n); b.memory.MaxBytes > 0 && reserved > b.memory.MaxBytes {
+		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonRouterFull, "callers' bodies take all memory that they may", time.Now().Add(memoryRetryDelay))
 	}
 	return nil
 }
 
-// tooLarge is the refusal of a body that is over its limit.
-func tooLarge() error {
+// refuseTooLarge returns the refusal of a body over its limit.
+func refuseTooLarge() error {
 	return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonTooLarge, "the body is too large", time.Time{})
 }
 
-// headerSize returns the size of a request's line and headers as they were sent,
-// but for spaces.
+// headerSize returns the size of a request's line and headers as sent, except for
+// optional whitespace.
 func headerSize(r *http.Request) int64 {
-	const line = 4 // a colon, a space and the two bytes that end the line
+	const line = 4 // colon, space, CR and LF
 	n := int64(len(r.Method)+len(r.RequestURI)+len(r.Proto)) + line + int64(len("Host")+len(r.Host)) + line
 	for name, values := range r.Header {
 		for _, v := range values {
--- a/internal/intake/doc.go
+++ b/internal/intake/doc.go
@@ -1,8 +1,9 @@
-// Package intake takes in callers' HTTP within limits: how much a caller may send
-// and how long that may take, how long a connection may rest, and how many
-// connections and how much memory callers may use in all.
+// Package intake serves callers' HTTP requests within limits: the size of headers and
+// bodies, the time to send a request, the idle time of a connection, and the number of
+// connections and the memory of all callers together.
 //
-// A [Server] bounds connections, by limits that may change while it serves. A
-// [Memory] bounds the bodies that are held at a time. What is over a limit is
-// refused; the process never comes near the limits at which its host kills it.
+// A [Server] limits connections, with limits that may change while it serves. A
+// [BodyMemory] limits the memory of all request bodies held at a time. Requests over a
+// limit are refused, so that the process stays well below the limits at which its host
+// would kill it.
 package intake
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -19,10 +19,10 @@
 	"sumachead/internal/loop"
 )
 
-// brokenBody breaks off after some bytes.
-type brokenBody struct{ left int }
+// truncatedBody returns an error after some bytes.
+type truncatedBody struct{ left int }
 
-func (b *brokenBody) Read(p []byte) (int, error) {
+func (b *truncatedBody) Read(p []byte) (int, error) {
 	if b.left == 0 {
 		return 0, errors.New("reset")
 	}
@@ -33,23 +33,23 @@
 
 func TestBodies(t *testing.T) {
 	limits := Limits{HeaderBytes: 200, BodyBytes: 50_000}
-	unknown := func(r *http.Request) { r.ContentLength = -1 }
+	unknownLength := func(r *http.Request) { r.ContentLength = -1 }
 	tests := []struct {
-		name   string
-		body   io.Reader
-		change func(*http.Request)
-		most   int64
-		want   sumachead.Reason
-		size   int
+		name     string
+		body     io.Reader
+		change   func(*http.Request)
+		maxBytes int64
+		want     sumachead.Reason
+		size     int
 	}{
 		{"none", nil, nil, 100, "", 0},
-		{"length told", strings.NewReader(strings.Repeat("x", 50_000)), nil, 60_000, "", 50_000},
-		{"length not told", strings.NewReader(strings.Repeat("x", 50_000)), unknown, 100_000, "", 50_000},
-		{"told to be too large", strings.NewReader(strings.Repeat("x", 50_001)), nil, 0, sumachead.ReasonTooLarge, 0},
-		{"found to be too large", strings.NewReader(strings.Repeat("x", 50_001)), unknown, 0, sumachead.ReasonTooLarge, 0},
-		{"shorter than told", strings.NewReader("x"), func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(&brokenBody{1}), 5 }, 0, sumachead.ReasonBadRequest, 0},
+		{"known length", strings.NewReader(strings.Repeat("x", 50_000)), nil, 60_000, "", 50_000},
+		{"unknown length", strings.NewReader(strings.Repeat("x", 50_000)), unknownLength, 100_000, "", 50_000},
+		{"too large by its length", strings.NewReader(strings.Repeat("x", 50_001)), nil, 0, sumachead.ReasonTooLarge, 0},
+		{"too large, of unknown length", strings.NewReader(strings.Repeat("x", 50_001)), unknownLength, 0, sumachead.ReasonTooLarge, 0},
+		{"shorter than its length", strings.NewReader("x"), func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(&truncatedBody{1}), 5 }, 0, sumachead.ReasonBadRequest, 0},
 		{"no memory", strings.NewReader(strings.Repeat("x", 5000)), nil, 4000, sumachead.ReasonRouterFull, 0},
-		{"no memory for a length not told", strings.NewReader(strings.Repeat("x", 50_000)), unknown, 40_000, sumachead.ReasonRouterFull, 0},
+		{"no memory for an unknown length", strings.NewReader(strings.Repeat("x", 50_000)), unknownLength, 40_000, sumachead.ReasonRouterFull, 0},
 		{"headers too large", nil, func(r *http.Request) { r.Header.Set("X", strings.Repeat("y", 200)) }, 0, sumachead.ReasonHeadersTooLarge, 0},
 	}
 	for _, tt := range tests {
@@ -58,7 +58,7 @@
 			if tt.change != nil {
 				tt.change(r)
 			}
-			m := &Memory{Most: tt.most}
+			m := &BodyMemory{MaxBytes: tt.maxBytes}
 			b, err := m.Read(r, limits)
 			got := sumachead.Reason("")
 			if err != nil {
@@ -77,15 +77,15 @@
 				}
 				b.Release()
 			}
-			if left := m.held.Load(); left != 0 {
-				t.Errorf("%d bytes are held after the end", left)
+			if left := m.reserved.Load(); left != 0 {
+				t.Errorf("%d bytes are still reserved after Release", left)
 			}
 		})
 	}
 }
 
-// serve starts a server that answers all requests at once.
-func serve(t *testing.T, s *Server) {
+// startServer starts a server that responds to all requests immediately.
+func startServer(t *testing.T, s *Server) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,7 +94,7 @@
 	s.Address = l.Addr().String()
 	_ = l.Close()
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
-	s.Finish = time.Second
+	s.DrainTimeout = time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
@@ -107,20 +107,20 @@
 	for range 100 {
 		conn, err := net.Dial("tcp", s.Address)
 		if err == nil {
-			if !ask(conn) { // the server counts it by now
-				t.Fatal("no answer")
+			if !sendRequest(conn) { // the server has registered the connection by now
+				t.Fatal("no response")
 			}
 			_ = conn.Close()
-			forgotten(t, s)
+			awaitNoConns(t, s)
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the server does not listen")
+	t.Fatal("the server is not listening")
 }
 
-// forgotten waits until the server counts no connection any more.
-func forgotten(t *testing.T, s *Server) {
+// awaitNoConns waits until the server has no open connections.
+func awaitNoConns(t *testing.T, s *Server) {
 	t.Helper()
 	for range 200 {
 		s.mu.Lock()
@@ -131,10 +131,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the first connection is not forgotten")
+	t.Fatal("the first connection is still registered")
 }
 
-// dial opens a connection; its reads end after two seconds.
+// dial opens a connection with a read deadline of two seconds.
 func dial(t *testing.T, s *Server) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Address)
@@ -146,16 +146,16 @@
 	return conn
 }
 
-// ask sends a request on a connection; false when it has no answer.
-func ask(conn net.Conn) bool {
+// sendRequest sends a request on a connection and reports whether it succeeds.
+func sendRequest(conn net.Conn) bool {
 	if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return false
 	}
-	return answered(conn)
+	return readResponse(conn)
 }
 
-// answered reads an answer and reports whether it is whole and good.
-func answered(conn net.Conn) bool {
+// readResponse reads a response and reports whether it is complete and successful.
+func readResponse(conn net.Conn) bool {
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return false
@@ -164,69 +164,69 @@
 	return errors.Join(err, resp.Body.Close()) == nil && resp.StatusCode == http.StatusOK
 }
 
-// closes reports whether the server closes a connection before its reads end.
-func closes(conn net.Conn) bool {
+// isClosed reports whether the server closes a connection before its read deadline.
+func isClosed(conn net.Conn) bool {
 	_, err := conn.Read(make([]byte, 1))
 	return errors.Is(err, io.EOF)
 }
 
 func TestConnectionsAreClosedInTime(t *testing.T) {
-	const short = 100 * time.Millisecond
+	const timeout = 100 * time.Millisecond
 	tests := []struct {
 		name    string
 		limits  Limits
 		request bool
 		want    bool
 	}{
-		{"no request in time", Limits{Header: short}, false, true},
-		{"no further request in time", Limits{Idle: short}, true, true},
-		{"header time does not count after an answer", Limits{Header: short}, true, false},
-		{"idle time does not count before a request", Limits{Idle: short}, false, false},
+		{"no request in time", Limits{Header: timeout}, false, true},
+		{"no further request in time", Limits{Idle: timeout}, true, true},
+		{"no header timeout after a response", Limits{Header: timeout}, true, false},
+		{"no idle timeout before a request", Limits{Idle: timeout}, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := &Server{Limits: func() Limits { return tt.limits }}
-			serve(t, s)
+			startServer(t, s)
 			conn := dial(t, s)
-			if tt.request && !ask(conn) {
-				t.Fatal("no answer")
+			if tt.request && !sendRequest(conn) {
+				t.Fatal("no response")
 			}
-			_ = conn.SetReadDeadline(time.Now().Add(8 * short))
-			if diff := cmp.Diff(tt.want, closes(conn)); diff != "" {
+			_ = conn.SetReadDeadline(time.Now().Add(8 * timeout))
+			if diff := cmp.Diff(tt.want, isClosed(conn)); diff != "" {
 				t.Fatalf("closed (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Limits that change are in force for connections that are open.
+// Changed limits also apply to connections that are already open.
 func TestChangedLimitsAreInForce(t *testing.T) {
 	var idle atomic.Int64
 	idle.Store(int64(time.Hour))
 	s := &Server{Limits: func() Limits { return Limits{Idle: time.Duration(idle.Load())} }}
-	serve(t, s)
+	startServer(t, s)
 	conn := dial(t, s)
-	if !ask(conn) {
-		t.Fatal("no answer")
+	if !sendRequest(conn) {
+		t.Fatal("no response")
 	}
 	idle.Store(int64(100 * time.Millisecond))
-	if !ask(conn) {
-		t.Fatal("no answer under the new limit")
+	if !sendRequest(conn) {
+		t.Fatal("no response under the new limit")
 	}
-	if !closes(conn) {
-		t.Fatal("the connection rests longer than the new limit allows")
+	if !isClosed(conn) {
+		t.Fatal("the connection is idle longer than the new limit allows")
 	}
 }
 
-// awaitResting waits until the server knows that a connection rests: it learns that
-// after its caller has read the answer.
-func awaitResting(t *testing.T, s *Server) {
+// awaitIdle waits until the server has marked a connection as idle, which happens after
+// the caller has read the response.
+func awaitIdle(t *testing.T, s *Server) {
 	t.Helper()
-	rests := func() bool {
+	hasIdle := func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, c := range s.conns {
-			if !c.restingSince.IsZero() {
+			if !c.idleSince.IsZero() {
 				return true
 			}
 		}
@@ -234,33 +234,33 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if !loop.Until(ctx, time.Millisecond, rests) {
-		t.Fatal("no connection rests after its answer")
+	if !loop.Until(ctx, time.Millisecond, hasIdle) {
+		t.Fatal("no connection is idle after its response")
 	}
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
 	s := &Server{MaxConns: 2, Limits: func() Limits { return Limits{} }}
-	serve(t, s)
-	resting, busy := dial(t, s), dial(t, s)
-	if !ask(resting) {
-		t.Fatal("no answer")
+	startServer(t, s)
+	idle, busy := dial(t, s), dial(t, s)
+	if !sendRequest(idle) {
+		t.Fatal("no response")
 	}
 	if _, err := io.WriteString(busy, "GET / HTTP/1.1\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	awaitResting(t, s)
+	awaitIdle(t, s)
 	newest := dial(t, s)
-	if !ask(newest) {
-		t.Error("a new connection has no answer, though another one rests")
+	if !sendRequest(newest) {
+		t.Error("a new connection got no response though another one is idle")
 	}
-	if !closes(resting) {
-		t.Error("the resting connection stays")
+	if !isClosed(idle) {
+		t.Error("the idle connection was not closed")
 	}
 	if _, err := io.WriteString(busy, "Host: h\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if !answered(busy) {
+	if !readResponse(busy) {
 		t.Error("the busy connection was not served")
 	}
 }
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -10,32 +10,32 @@
 	"sumachead/internal/telemetry"
 )
 
-// Limits bound what one caller may do. A limit of 0 stands for the default.
+// Limits are the limits for a single caller. A limit of 0 stands for the default.
 type Limits struct {
-	// HeaderBytes bounds the request line and the headers.
+	// HeaderBytes limits the size of the request line and the headers.
 	HeaderBytes int64
-	// BodyBytes bounds the body.
+	// BodyBytes limits the size of the body.
 	BodyBytes int64
-	// Header is how long the first request of a connection may take to come.
+	// HeaderTimeout limits the time until the headers of a connection's first request are read.
 	Header time.Duration
-	// Idle is how long a connection may rest between requests.
+	// IdleTimeout limits how long a connection may be idle between requests.
 	Idle time.Duration
 }
 
-// The defaults, for callers of which no declaration says anything.
+// Default limits, for a declaration that sets none.
 const (
-	// defaultHeaderBytes is a sixteenth of net/http's own bound.
+	// defaultHeaderBytes is a sixteenth of net/http's default.
 	defaultHeaderBytes = 64 << 10
-	// defaultBodyBytes is what bodies were bounded by before limits could be declared.
+	// defaultBodyBytes is compatible with releases in which limits can't be declared.
 	defaultBodyBytes = 8 << 20
-	// defaultHeader is the bound that telemetry.HTTPServer has for all servers.
-	defaultHeader = 10 * time.Second
-	// defaultIdle is how long connections could rest before limits could be declared.
-	defaultIdle = 75 * time.Second
+	// defaultHeaderTimeout equals the header timeout of telemetry.HTTPServer.
+	defaultHeaderTimeout = 10 * time.Second
+	// defaultIdleTimeout is compatible with releases in which limits can't be declared.
+	defaultIdleTimeout = 75 * time.Second
 )
 
-// orDefault returns the limits with defaults where they say nothing.
-func (l Limits) orDefault() Limits {
+// withDefaults returns the limits with unset ones replaced by the defaults.
+func (l Limits) withDefaults() Limits {
 	if l.HeaderBytes <= 0 {
 		l.HeaderBytes = defaultHeaderBytes
 	}
@@ -43,69 +43,69 @@
 		l.BodyBytes = defaultBodyBytes
 	}
 	if l.Header <= 0 {
-		l.Header = defaultHeader
+		l.Header = defaultHeaderTimeout
 	}
 	if l.Idle <= 0 {
-		l.Idle = defaultIdle
+		l.Idle = defaultIdleTimeout
 	}
 	return l
 }
 
 // Server serves callers. Set the exported fields before Run.
 type Server struct {
-	Address string
-	Handler http.Handler
-	Listen  *net.ListenConfig
-	// Limits returns the limits in force. It is called while a connection is noted,
-	// so that it must not block.
+	Address      string
+	Handler      http.Handler
+	ListenConfig *net.ListenConfig
+	// Limits returns the current limits. It is called with the server's mutex held, so
+	// it must not block.
 	Limits func() Limits
-	// MaxConns bounds the connections at a time; 0 for no bound. Above it the one
-	// that has rested longest is closed, or the new one where none rests.
+	// MaxConns limits the open connections; 0 for no limit. Above it, the connection
+	// that has been idle longest is closed, or the new one if none is idle.
 	MaxConns int
-	// Finish bounds how long requests under way may take once Run's context ends;
-	// what is left is broken off.
-	Finish time.Duration
+	// DrainTimeout limits how long requests in flight may take once Run's context ends;
+	// the remaining ones are aborted.
+	DrainTimeout time.Duration
 
 	mu sync.Mutex // guards conns
 	// conns are the open connections.
 	conns map[net.Conn]*connection
 }
 
-// connection is what is known of one connection.
+// connection is the state of one connection.
 type connection struct {
-	// timer closes the connection while it waits for a request, which has come when
-	// its headers are read.
+	// timer closes the connection if it waits too long for a request. A request has
+	// arrived once its headers are read.
 	timer *time.Timer
-	// restingSince is when its last answer ended; zero while a request is under
-	// way, and before the first.
-	restingSince time.Time
+	// idleSince is when its last response ended; zero while a request is in flight,
+	// and before the first request.
+	idleSince time.Time
 }
 
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	s.conns = make(map[net.Conn]*connection)
 	h := &telemetry.HTTPServer{
-		Address: s.Address, Handler: s.Handler, ListenConfig: s.Listen, Drain: s.Finish, ForceClose: true, ConnState: s.connState,
+		Address: s.Address, Handler: s.Handler, ListenConfig: s.ListenConfig, Drain: s.DrainTimeout, ForceClose: true, ConnState: s.connState,
 	}
 	return h.Run(ctx)
 }
 
-// connState follows a connection's life.
+// connState tracks the state of a connection and sets its timer.
 func (s *Server) connState(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		s.conns[conn] = &connection{timer: closeAfter(conn, s.limits().Header)}
-		s.makeRoom(conn)
+		s.enforceMaxConns(conn)
 	case http.StateActive:
 		if c := s.conns[conn]; c != nil {
 			c.timer.Stop()
-			c.restingSince = time.Time{}
+			c.idleSince = time.Time{}
 		}
 	case http.StateIdle:
 		if c := s.conns[conn]; c != nil {
-			c.restingSince = time.Now()
+			c.idleSince = time.Now()
 			c.timer = closeAfter(conn, s.limits().Idle)
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -116,26 +116,26 @@
 	}
 }
 
-// limits returns the limits in force, without gaps.
-func (s *Server) limits() Limits { return s.Limits().orDefault() }
+// limits returns the current limits, with defaults.
+func (s *Server) limits() Limits { return s.Limits().withDefaults() }
 
-// closeAfter closes a connection some time from now.
-func closeAfter(conn net.Conn, after time.Duration) *time.Timer {
-	// Whoever reads or writes on a closed connection gets an error from that.
-	return time.AfterFunc(after, func() { _ = conn.Close() })
+// closeAfter returns a timer that closes a connection after a delay.
+func closeAfter(conn net.Conn, delay time.Duration) *time.Timer {
+	// The error is ignored: readers and writers of the connection get errors of their own.
+	return time.AfterFunc(delay, func() { _ = conn.Close() })
 }
 
-// makeRoom closes a connection if a new one makes too many: the one that has rested
-// longest, or else the new one. The caller holds mu.
-func (s *Server) makeRoom(added net.Conn) {
+// enforceMaxConns closes a connection if a new one exceeds MaxConns: the one that has been
+// idle longest, or else the new one. The caller must hold mu.
+func (s *Server) enforceMaxConns(added net.Conn) {
 	if s.MaxConns <= 0 || len(s.conns) <= s.MaxConns {
 		return
 	}
 	victim := added
 	var since time.Time
 	for conn, c := range s.conns {
-		if rests := c.restingSince; !rests.IsZero() && (since.IsZero() || rests.Before(since)) {
-			victim, since = conn, rests
+		if idleSince := c.idleSince; !idleSince.IsZero() && (since.IsZero() || idleSince.Before(since)) {
+			victim, since = conn, idleSince
 		}
 	}
 	s.conns[victim].timer.Stop()
