--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,5 +1,5 @@
-// Package strictjson decodes JSON that people write: an unknown field, a
-// repeated name or a wrong type is an error that names the field.
+// Package strictjson decodes hand-written JSON strictly: an unknown field, a
+// duplicate name or a wrong type is an error that names the field.
 package strictjson
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Decode decodes one JSON value into v. The name is of the file or the object
-// that the text came from.
+// Decode decodes one JSON value into v. The name identifies the source of the data,
+// a file or an object, in errors.
 func Decode(name string, data []byte, v any) error {
 	err := json.Unmarshal(data, v, json.RejectUnknownMembers(true))
 	if err == nil {
@@ -21,20 +21,20 @@
 	return trace.BadParameter("%s: %s", name, describe(err))
 }
 
-// describe names the field that a decoding error is about.
+// describe returns the message of a decoding error, prefixed with the affected field.
 func describe(err error) string {
 	var semantic *json.SemanticError
 	if errors.As(err, &semantic) {
-		return field(semantic.JSONPointer) + strings.TrimPrefix(err.Error(), "json: ")
+		return fieldPrefix(semantic.JSONPointer) + strings.TrimPrefix(err.Error(), "json: ")
 	}
 	var syntactic *jsontext.SyntacticError
 	if errors.As(err, &syntactic) {
-		return field(syntactic.JSONPointer) + strings.TrimPrefix(err.Error(), "jsontext: ")
+		return fieldPrefix(syntactic.JSONPointer) + strings.TrimPrefix(err.Error(), "jsontext: ")
 	}
 	return err.Error()
 }
 
-func field(p jsontext.Pointer) string {
+func fieldPrefix(p jsontext.Pointer) string {
 	if p == "" {
 		return ""
 	}
@@ -46,7 +46,7 @@
 	return json.Marshal(v, json.Deterministic(true), json.FormatNilSliceAsNull(true))
 }
 
-// EncodeIndented is like Encode, for people.
+// EncodeIndented returns v as indented JSON with sorted names.
 func EncodeIndented(v any) ([]byte, error) {
 	return json.Marshal(v, json.Deterministic(true), json.FormatNilSliceAsNull(true), jsontext.WithIndent("  "))
 }
