--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -181,8 +181,8 @@
 	return strings.TrimSpace(b.String())
 }
 
-// formatValue returns a field's value; durations, which are logged in nanoseconds, are
-// converted.
+// formatValue returns a field's value for output; durations, which are logged in
+// nanoseconds, are made readable.
 func (l *Line) formatValue(name string) any {
 	v := l.Fields[name]
 	switch name {
