--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -125,7 +125,7 @@
 		return r
 	}
 	return &telemetry.HTTPServer{
-		Address: a.Config.HTTP, Handler: telemetry.Handler(a.metrics.registry, ready), Drain: telemetry.DrainMonitoring,
+		Address: a.Config.HTTP, Handler: telemetry.Handler(a.metrics.registry, ready), DrainTimeout: telemetry.MonitoringDrainTimeout,
 	}
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -104,7 +104,7 @@
 // by the last logged state of the process that wrote it, and by that of other processes
 // about the same server or workspace. The clocks of processes may differ, so only the
 // order within one process is exact.
-func Story(w io.Writer, lines []Line, request string) error {
+func WriteTimeline(w io.Writer, lines []Line, request string) error {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	states := make(map[string]map[string]Line)
 	found := false
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	if err := Story(&got, lines, "q1"); err != nil {
+	if err := WriteTimeline(&got, lines, "q1"); err != nil {
 		t.Fatal(err)
 	}
 	want := `       4.000s before, router-1: A declaration is in force. number=7
@@ -34,7 +34,7 @@
 	if d := cmp.Diff(want, got.String()); d != "" {
 		t.Fatalf("(-want +got):\n%s", d)
 	}
-	if err := Story(&got, lines, "none"); !trace.IsNotFound(err) {
+	if err := WriteTimeline(&got, lines, "none"); !trace.IsNotFound(err) {
 		t.Fatalf("error %v for a request without lines, want not found", err)
 	}
 }
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -70,7 +70,7 @@
 	crashTracker blame.Tracker
 	metrics      *metrics
 	// limitedLog limits the rate of log lines on grants and server records.
-	limitedLog *telemetry.Lines
+	limitedLog *telemetry.LogLimiter
 	// heartbeats are those that this keeper will forward to the leader.
 	heartbeats *heartbeatBatch
 	// rolloutControllers hold the active rollouts while this keeper leads.
@@ -94,7 +94,7 @@
 	k.servers = &registry.Table{Heartbeat: k.Heartbeat}
 	k.allocator = &escrow.Allocator{}
 	k.followers = newFollowers()
-	k.limitedLog = &telemetry.Lines{PerSecond: k.LinesPerSecond}
+	k.limitedLog = &telemetry.LogLimiter{PerSecond: k.LinesPerSecond}
 	k.heartbeats, k.startedAt = newHeartbeatBatch(), time.Now()
 	k.reports = make(chan *pendingReport)
 	k.stopped = make(chan struct{})
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -94,7 +94,7 @@
 	// declared is open once there is a declaration.
 	declared loop.Gate
 	// limitedLog limits the rate of log lines on suspects.
-	limitedLog telemetry.Lines
+	limitedLog telemetry.LogLimiter
 	// searchGroup merges concurrent searches into one.
 	searchGroup singleflight.Group
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -100,8 +100,8 @@
 	handle handler
 	// servedLog limits log lines of served requests, failureLog those of failed ones, of which more
 	// are kept.
-	servedLog  *telemetry.Lines
-	failureLog *telemetry.Lines
+	servedLog  *telemetry.LogLimiter
+	failureLog *telemetry.LogLimiter
 	// startedAt is when Prepare was called.
 	startedAt time.Time
 	inFlight  atomic.Int64
@@ -113,8 +113,8 @@
 	g.startedAt = time.Now()
 	g.servers = &registry.Table{Heartbeat: g.Heartbeat}
 	g.metrics = newMetrics(g)
-	g.servedLog = &telemetry.Lines{PerSecond: g.LinesPerSecond}
-	g.failureLog = &telemetry.Lines{PerSecond: cmp.Or(g.FailuresPerSecond, defaultFailuresPerSecond)}
+	g.servedLog = &telemetry.LogLimiter{PerSecond: g.LinesPerSecond}
+	g.failureLog = &telemetry.LogLimiter{PerSecond: cmp.Or(g.FailuresPerSecond, defaultFailuresPerSecond)}
 	g.sampler = &rollout.Sampler{Clock: boottime.Clock{}, Node: g.Node, Boot: sumachead.BootID(rand.Text())}
 	g.client = &fleetclient.Client{
 		Node: g.Node, Role: fleet.RoleRouter, Hall: g.Hall, Seeds: g.Seeds, Pool: g.Pool,
@@ -227,7 +227,7 @@
 	}
 	return intake.Limits{
 		HeaderBytes: l.GetHeaderBytes(), BodyBytes: l.GetBodyBytes(),
-		Header: time.Duration(l.GetHeaderMillis()) * time.Millisecond, Idle: time.Duration(l.GetIdleMillis()) * time.Millisecond,
+		HeaderTimeout: time.Duration(l.GetHeaderMillis()) * time.Millisecond, IdleTimeout: time.Duration(l.GetIdleMillis()) * time.Millisecond,
 	}
 }
 
--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -44,7 +44,7 @@
 			out := telemetry.NewQueuedWriter(io.Discard)
 			defer out.Close()
 			log := hclog.New(&hclog.LoggerOptions{Name: "router-1", Output: io.MultiWriter(w, out), JSONFormat: true})
-			g := &Gateway{Log: log, servedLog: &telemetry.Lines{PerSecond: load.bound}}
+			g := &Gateway{Log: log, servedLog: &telemetry.LogLimiter{PerSecond: load.bound}}
 			x := servedExchange()
 			for b.Loop() {
 				g.logServed(x)
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -178,10 +178,10 @@
 		request bool
 		want    bool
 	}{
-		{"no request in time", Limits{Header: timeout}, false, true},
-		{"no further request in time", Limits{Idle: timeout}, true, true},
-		{"no header timeout after a response", Limits{Header: timeout}, true, false},
-		{"no idle timeout before a request", Limits{Idle: timeout}, false, false},
+		{"no request in time", Limits{HeaderTimeout: timeout}, false, true},
+		{"no further request in time", Limits{IdleTimeout: timeout}, true, true},
+		{"no header timeout after a response", Limits{HeaderTimeout: timeout}, true, false},
+		{"no idle timeout before a request", Limits{IdleTimeout: timeout}, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -203,7 +203,7 @@
 func TestChangedLimitsAreInForce(t *testing.T) {
 	var idle atomic.Int64
 	idle.Store(int64(time.Hour))
-	s := &Server{Limits: func() Limits { return Limits{Idle: time.Duration(idle.Load())} }}
+	s := &Server{Limits: func() Limits { return Limits{IdleTimeout: time.Duration(idle.Load())} }}
 	startServer(t, s)
 	conn := dial(t, s)
 	if !sendRequest(conn) {
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -17,9 +17,9 @@
 	// BodyBytes limits the size of the body.
 	BodyBytes int64
 	// HeaderTimeout limits the time until the headers of a connection's first request are read.
-	Header time.Duration
+	HeaderTimeout time.Duration
 	// IdleTimeout limits how long a connection may be idle between requests.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
 
 // Default limits, for a declaration that sets none.
@@ -42,11 +42,11 @@
 	if l.BodyBytes <= 0 {
 		l.BodyBytes = defaultBodyBytes
 	}
-	if l.Header <= 0 {
-		l.Header = defaultHeaderTimeout
+	if l.HeaderTimeout <= 0 {
+		l.HeaderTimeout = defaultHeaderTimeout
 	}
-	if l.Idle <= 0 {
-		l.Idle = defaultIdleTimeout
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = defaultIdleTimeout
 	}
 	return l
 }
@@ -85,7 +85,7 @@
 func (s *Server) Run(ctx context.Context) error {
 	s.conns = make(map[net.Conn]*connection)
 	h := &telemetry.HTTPServer{
-		Address: s.Address, Handler: s.Handler, ListenConfig: s.ListenConfig, Drain: s.DrainTimeout, ForceClose: true, ConnState: s.connState,
+		Address: s.Address, Handler: s.Handler, ListenConfig: s.ListenConfig, DrainTimeout: s.DrainTimeout, ForceClose: true, ConnState: s.connState,
 	}
 	return h.Run(ctx)
 }
@@ -96,7 +96,7 @@
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		s.conns[conn] = &connection{timer: closeAfter(conn, s.limits().Header)}
+		s.conns[conn] = &connection{timer: closeAfter(conn, s.limits().HeaderTimeout)}
 		s.enforceMaxConns(conn)
 	case http.StateActive:
 		if c := s.conns[conn]; c != nil {
@@ -106,7 +106,7 @@
 	case http.StateIdle:
 		if c := s.conns[conn]; c != nil {
 			c.idleSince = time.Now()
-			c.timer = closeAfter(conn, s.limits().Idle)
+			c.timer = closeAfter(conn, s.limits().IdleTimeout)
 		}
 	case http.StateClosed, http.StateHijacked:
 		if c := s.conns[conn]; c != nil {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -199,7 +199,7 @@
 		return nil
 	}
 	s := &telemetry.HTTPServer{
-		Address: k.Config.HTTP, Handler: telemetry.Handler(k.metrics.registry, ready), Drain: telemetry.DrainMonitoring,
+		Address: k.Config.HTTP, Handler: telemetry.Handler(k.metrics.registry, ready), DrainTimeout: telemetry.MonitoringDrainTimeout,
 	}
 	return s.Run(ctx)
 }
--- a/internal/metricspage/page_test.go
+++ b/internal/metricspage/page_test.go
@@ -77,10 +77,10 @@
 	out := telemetry.NewQueuedWriter(os.Stderr)
 	g := &gateway.Gateway{Log: hclog.NewNullLogger(), Seeds: func() []string { return nil }}
 	g.Prepare()
-	g.Metrics().Registry.MustRegister(out.Dropped())
+	g.Metrics().Registry.MustRegister(out.DroppedLinesCounter())
 	k := &fleet.Keeper{
 		Node: "core-1", Address: "127.0.0.1:1", DataDir: t.TempDir(), Founders: []string{"127.0.0.1:1"}, Heartbeat: time.Second,
-		RPC: &rpc.Server{}, Pool: &rpc.Pool{}, Log: hclog.NewNullLogger(), Collectors: []prometheus.Collector{out.Dropped()},
+		RPC: &rpc.Server{}, Pool: &rpc.Pool{}, Log: hclog.NewNullLogger(), Collectors: []prometheus.Collector{out.DroppedLinesCounter()},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -97,7 +97,7 @@
 }
 
 func (r *Router) server() *telemetry.HTTPServer {
-	return &telemetry.HTTPServer{Address: r.Config.HTTP, TLS: r.CallerTLS, Handler: r.routes(), Drain: drainTimeout}
+	return &telemetry.HTTPServer{Address: r.Config.HTTP, TLS: r.CallerTLS, Handler: r.routes(), DrainTimeout: drainTimeout}
 }
 
 // routes is the table of what callers may ask for.
--- a/internal/standin/standincmd/main.go
+++ b/internal/standin/standincmd/main.go
@@ -37,7 +37,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	h := &telemetry.HTTPServer{Address: o.Listen, Handler: s.Handler(), Drain: telemetry.DrainMonitoring}
+	h := &telemetry.HTTPServer{Address: o.Listen, Handler: s.Handler(), DrainTimeout: telemetry.MonitoringDrainTimeout}
 	if err := h.Run(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -14,7 +14,7 @@
 // LogLimiter limits the rate of log lines with the same message: lines above the rate
 // are suppressed, and the next line written has the number of them in its field
 // left_out. It is safe for concurrent use.
-type Lines struct {
+type LogLimiter struct {
 	// PerSecond is the limit for each message; 0 for the default.
 	PerSecond int
 
@@ -33,7 +33,7 @@
 
 // allow reports whether a line with this message may be written now, and how many were
 // suppressed since the last one written.
-func (l *Lines) allow(message string, now time.Time) (suppressed int, ok bool) {
+func (l *LogLimiter) allow(message string, now time.Time) (suppressed int, ok bool) {
 	limit := l.PerSecond
 	if limit == 0 {
 		limit = defaultLinesPerSecond
@@ -61,7 +61,7 @@
 }
 
 // Info logs a line unless its message is over the limit.
-func (l *Lines) Info(log hclog.Logger, message string, fields ...any) {
+func (l *LogLimiter) Info(log hclog.Logger, message string, fields ...any) {
 	suppressed, ok := l.allow(message, time.Now())
 	if !ok {
 		return
--- a/internal/telemetry/lines_test.go
+++ b/internal/telemetry/lines_test.go
@@ -13,7 +13,7 @@
 func TestLogLimiterLimitsEachMessage(t *testing.T) {
 	var out bytes.Buffer
 	log := hclog.New(&hclog.LoggerOptions{Output: &out, JSONFormat: true})
-	l := &Lines{PerSecond: 3}
+	l := &LogLimiter{PerSecond: 3}
 	at := time.Unix(100, 0)
 	written := 0
 	for range 50 {
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -86,7 +86,7 @@
 }
 
 // DroppedLinesCounter returns the Prometheus counter of dropped lines.
-func (q *QueuedWriter) Dropped() prometheus.Collector {
+func (q *QueuedWriter) DroppedLinesCounter() prometheus.Collector {
 	return prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "sumachead_log_lines_dropped_total", Help: "Log lines that were dropped because the reader of the output was slow.",
 	}, func() float64 { return float64(q.total.Load()) })
--- a/internal/telemetry/server_test.go
+++ b/internal/telemetry/server_test.go
@@ -32,7 +32,7 @@
 			entered, release := make(chan struct{}), make(chan struct{})
 			defer close(release)
 			s := &HTTPServer{
-				Address: freeAddress(t), Drain: 20 * time.Millisecond, ForceClose: tt.forceClose,
+				Address: freeAddress(t), DrainTimeout: 20 * time.Millisecond, ForceClose: tt.forceClose,
 				Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 					close(entered)
 					<-release
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -27,7 +27,7 @@
 
 // MonitoringDrainTimeout is the DrainTimeout of servers that serve only health checks and
 // metrics.
-const DrainMonitoring = time.Second
+const MonitoringDrainTimeout = time.Second
 
 // NewLogger returns the root logger of a process. Each component logs under a name of
 // its own, which prefixes its lines.
@@ -83,7 +83,7 @@
 	// ConnState is called on each change of a connection's state; it may be nil.
 	ConnState func(net.Conn, http.ConnState)
 	// DrainTimeout limits how long requests in flight may take to finish.
-	Drain time.Duration
+	DrainTimeout time.Duration
 	// ForceClose closes the connections of requests that take longer; otherwise Run
 	// returns an error for them.
 	ForceClose bool
@@ -110,7 +110,7 @@
 		return trace.Wrap(err)
 	case <-ctx.Done():
 	}
-	stopCtx, cancel := context.WithTimeout(context.Background(), s.Drain)
+	stopCtx, cancel := context.WithTimeout(context.Background(), s.DrainTimeout)
 	defer cancel()
 	err = server.Shutdown(stopCtx)
 	if err != nil && !s.ForceClose {
--- a/internal/tool/explain.go
+++ b/internal/tool/explain.go
@@ -26,7 +26,7 @@
 		}
 		lines = append(lines, l...)
 	}
-	return explain.Story(c.app.out, lines, c.Request)
+	return explain.WriteTimeline(c.app.out, lines, c.Request)
 }
 
 func readLog(name string) ([]explain.Line, error) {
