--- a/internal/raft/calls.go
+++ b/internal/raft/calls.go
@@ -8,14 +8,14 @@
 	"sumachead/internal/loop"
 )
 
-// Status returns the newest published state; it must not be changed.
+// Status returns the latest published status; the caller must not modify it.
 func (n *Node) Status() *wire.GroupStatus { return n.status.Load() }
 
-// Leading reports whether this member believes that it leads.
+// IsLeader reports whether this member considers itself the leader.
 func (n *Node) Leading() bool { return n.Status().GetLeader() == n.ID }
 
-// Step takes in messages from other members. It drops them when the inbox is
-// full: the sender repeats them.
+// Step queues messages from other members. It drops them if the inbox is full, since
+// the sender will resend them.
 func (n *Node) Step(batch []*wire.RaftMessage) {
 	select {
 	case n.inbox <- batch:
@@ -23,18 +23,18 @@
 	}
 }
 
-// PeerRefused takes in that a member's address refuses connections, as it does when its
-// process has ended. It does not block.
+// ReportConnectionRefused reports that a member's address refuses connections, as it does
+// after its process has exited. It does not block.
 func (n *Node) PeerRefused(id string) {
 	select {
-	case n.calls <- func() { n.core.PeerRefused(n.now(), id) }:
-	default: // the peer's silence tells the same later
+	case n.calls <- func() { n.core.ReportConnectionRefused(n.now(), id) }:
+	default: // the election timeout will detect the failure later
 	}
 }
 
-// Propose replicates a command and returns what the state machine answered.
-// A [*NotLeaderError] means that nothing was done; [ErrUncertain] or the error
-// of ctx that it may be.
+// Propose replicates a command and returns the result of the state machine.
+// After a [*NotLeaderError] the command has no effect; after [ErrUncertain] or the
+// error of ctx it may still take effect.
 func (n *Node) Propose(ctx context.Context, data []byte) (any, error) {
 	p := &proposal{data: data, done: make(chan outcome, 1)}
 	select {
@@ -54,7 +54,7 @@
 	}
 }
 
-// call runs f on the goroutine of Run.
+// call runs f on the goroutine of Run and returns its result.
 func call[T any](ctx context.Context, n *Node, f func() T) (T, error) {
 	done := make(chan T, 1)
 	var zero T
@@ -75,10 +75,10 @@
 	}
 }
 
-// AwaitLeader returns once a leader is known, or when ctx ends.
+// AwaitLeader blocks until a leader is known or ctx is done.
 func (n *Node) AwaitLeader(ctx context.Context) error {
 	select {
-	case <-n.led.Wait():
+	case <-n.hasLeader.Wait():
 		return nil
 	case <-n.stopped:
 		return ErrStopped
@@ -87,8 +87,9 @@
 	}
 }
 
-// ReadBarrier returns nil when the state machine holds every command that was
-// acknowledged before the call: reads after it are linearizable.
+// ReadBarrier returns nil if this member is the leader with a valid lease and its state
+// machine has applied every command that was acknowledged before the call. Reads after
+// it are linearizable.
 func (n *Node) ReadBarrier(ctx context.Context) error {
 	ok, err := call(ctx, n, func() bool {
 		return n.core.LeaseValid(n.now()) && n.appliedIndex >= n.core.commit
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// ChangeMembers starts the membership change that f makes of the present one;
-// f returns nil for none. It reports whether a change was started.
+// ChangeMembers calls f with the current configuration and starts a change to the one
+// that f returns; nil means no change. It reports whether a change was started.
 func (n *Node) ChangeMembers(ctx context.Context, f func(*wire.Members) *wire.Members) (bool, error) {
 	return call(ctx, n, func() bool {
 		if n.core.role != Leader {
@@ -118,18 +119,18 @@
 	})
 }
 
-// CaughtUp reports whether a leader knows that the member has all but the
-// newest entries.
+// CaughtUp reports whether this member, as the leader, knows that another member has all
+// but the latest entries.
 func (n *Node) CaughtUp(ctx context.Context, id string) (bool, error) {
-	const slack = 64
+	const maxLag = 64
 	return call(ctx, n, func() bool {
 		p := n.core.peers[id]
-		return p != nil && p.match > 0 && p.match+slack >= n.core.lastIndex()
+		return p != nil && p.match > 0 && p.match+maxLag >= n.core.lastIndex()
 	})
 }
 
-// PeersActive lists the members that a leader has heard of within an election
-// timeout.
+// ActivePeers returns for each peer whether this member, as the leader, received a
+// reply from it within the last election timeout.
 func (n *Node) PeersActive(ctx context.Context) (map[string]bool, error) {
 	return call(ctx, n, func() map[string]bool {
 		active := make(map[string]bool)
@@ -140,20 +141,21 @@
 	})
 }
 
-// Transfer hands leadership to another member; it reports whether one was
-// found.
-func (n *Node) Transfer(ctx context.Context) (bool, error) {
-	return call(ctx, n, n.core.Transfer)
+// TransferLeadership starts a leadership transfer to another voter; it reports whether
+// there is one.
+func (n *Node) TransferLeadership(ctx context.Context) (bool, error) {
+	return call(ctx, n, n.core.TransferLeadership)
 }
 
-// HandOver passes leadership on, so that a planned stop costs no election. It
-// returns when this member does not lead, nobody can take over, or ctx ends.
+// ResignLeadership transfers leadership to another member, so that the group does
+// not wait for an election timeout after a planned shutdown. It returns once this member is
+// not the leader, no member can take over, or ctx is done.
 func (n *Node) HandOver(ctx context.Context) {
-	const pollEvery = 10 * time.Millisecond // a few round trips within a data hall
+	const pollInterval = 10 * time.Millisecond // a few round trips within a data hall
 	for n.Leading() && ctx.Err() == nil {
-		if ok, err := n.Transfer(ctx); err != nil || !ok {
+		if ok, err := n.TransferLeadership(ctx); err != nil || !ok {
 			return
 		}
-		loop.Until(ctx, pollEvery, func() bool { return !n.Leading() })
+		loop.Until(ctx, pollInterval, func() bool { return !n.Leading() })
 	}
 }
--- a/internal/raft/change.go
+++ b/internal/raft/change.go
@@ -6,7 +6,7 @@
 	"sumachead/api/wire"
 )
 
-// IsMember reports whether ms hold a member's id in its incarnation.
+// IsMember reports whether ms contains m with the same id and incarnation.
 func IsMember(ms []*wire.Member, m *wire.Member) bool {
 	for _, x := range ms {
 		if x.GetId() == m.GetId() {
@@ -16,9 +16,9 @@
 	return false
 }
 
-// WithLearner returns ms with a member as a learner, for [Node.ChangeMembers]; nil
-// when it is a member already. A new incarnation takes the place of its lost
-// self, which loses its vote in the same step.
+// WithLearner returns a copy of ms that includes m as a learner, for [Node.ChangeMembers],
+// or nil if m is already a member. A new incarnation replaces the previous one, which
+// loses its vote in the same change.
 func WithLearner(ms *wire.Members, m *wire.Member) *wire.Members {
 	if IsMember(ms.GetMembers(), m) {
 		return nil
@@ -30,7 +30,7 @@
 	return next
 }
 
-// Without returns ms without the member of an id, for [Node.ChangeMembers].
+// WithoutMember returns a copy of ms without the member id, for [Node.ChangeMembers].
 func Without(ms *wire.Members, id string) *wire.Members {
 	next := &wire.Members{}
 	for _, m := range ms.GetMembers() {
--- a/internal/raft/change_test.go
+++ b/internal/raft/change_test.go
@@ -13,7 +13,7 @@
 func TestWithLearner(t *testing.T) {
 	a := &wire.Member{Id: "a", Incarnation: "1", Address: "host-a:1"}
 	b := &wire.Member{Id: "b", Incarnation: "1", Address: "host-b:1"}
-	reborn := &wire.Member{Id: "a", Incarnation: "2", Address: "host-a:2"}
+	replaced := &wire.Member{Id: "a", Incarnation: "2", Address: "host-a:2"}
 	learner := &wire.Member{Id: "a", Incarnation: "2", Address: "host-a:2", Learner: true}
 	for _, c := range []struct {
 		name string
@@ -21,10 +21,10 @@
 		m    *wire.Member
 		want *wire.Members
 	}{
-		{"a newcomer", []*wire.Member{b}, reborn, &wire.Members{Members: []*wire.Member{b, learner}}},
-		{"a new incarnation of a voter", []*wire.Member{a, b}, reborn, &wire.Members{Members: []*wire.Member{b, learner}}},
-		{"a member", []*wire.Member{a, b}, a, nil},
-		{"a learner that asks again", []*wire.Member{b, learner}, reborn, nil},
+		{"a new member", []*wire.Member{b}, replaced, &wire.Members{Members: []*wire.Member{b, learner}}},
+		{"a new incarnation of a voter", []*wire.Member{a, b}, replaced, &wire.Members{Members: []*wire.Member{b, learner}}},
+		{"an existing member", []*wire.Member{a, b}, a, nil},
+		{"an existing learner", []*wire.Member{b, learner}, replaced, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ms := &wire.Members{Members: c.ms}
@@ -33,7 +33,7 @@
 				t.Errorf("members (-want +got):\n%s", d)
 			}
 			if d := cmp.Diff(before, ms, protocmp.Transform()); d != "" {
-				t.Errorf("the argument was changed (-want +got):\n%s", d)
+				t.Errorf("the argument was modified (-want +got):\n%s", d)
 			}
 		})
 	}
@@ -50,10 +50,10 @@
 		{"c", &wire.Members{Members: []*wire.Member{a, b}}},
 	} {
 		if d := cmp.Diff(c.want, Without(ms, c.id), protocmp.Transform()); d != "" {
-			t.Errorf("without %s (-want +got):\n%s", c.id, d)
+			t.Errorf("without member %s (-want +got):\n%s", c.id, d)
 		}
 	}
 	if len(ms.GetMembers()) != 2 {
-		t.Errorf("the argument was changed: %v", ms)
+		t.Errorf("the argument was modified: %v", ms)
 	}
 }
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -7,10 +7,10 @@
 	"sumachead/api/wire"
 )
 
-// Role is a member's part in the current term.
+// Role is the role of a member in the current term.
 type Role int
 
-// The roles.
+// The roles of a member.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -18,60 +18,60 @@
 	Leader
 )
 
-// maxAppendBytes bounds the entries in one append message.
+// maxAppendBytes is the maximum size of the entries in one append message.
 const maxAppendBytes = 1 << 20
 
-// maxInflight bounds the entries sent to a peer ahead of its replies.
-const maxInflight = 8192
+// maxInflightEntries is the maximum number of entries sent to a peer and not yet acknowledged.
+const maxInflightEntries = 8192
 
-// leaseFraction is the part of the election timeout, in percent, for which a
-// quorum's replies let a leader answer reads alone. The rest is the allowance
-// for clocks that run at different speeds.
-const leaseFraction = 80
+// leasePercent is the length of the read lease that a quorum's replies give a leader,
+// in percent of the election timeout. The remainder allows for clock drift between hosts.
+const leasePercent = 80
 
-// Config holds what a Core is made from.
+// Config configures a Core.
 type Config struct {
 	Group       string
 	ID          string
 	Incarnation string
-	// Heartbeat is the interval between a leader's heartbeats.
-	Heartbeat time.Duration
-	// Election is the least election timeout; the greatest is twice that.
-	Election time.Duration
-	// Rand returns a number in [0, n).
+	// HeartbeatInterval is the interval between a leader's heartbeats.
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is the minimum election timeout; the maximum is twice that.
+	ElectionTimeout time.Duration
+	// Rand returns a random number in [0, n).
 	Rand func(n int64) int64
-	// Snapshot returns the newest snapshot, for a peer that is too far behind.
+	// Snapshot returns the latest snapshot, for peers whose next entry was compacted.
 	Snapshot func() *wire.Snapshot
 }
 
-// Ready is what a Core wants done, in this order: send Early, persist State,
-// Snapshot and Entries with one sync, send Late, apply Committed. Where there is
-// a State, Early too waits for the sync.
+// Ready is the pending output of a Core. The caller handles it in this order: send
+// ReplicationMessages, persist State, Snapshot and Entries with one sync, send
+// MessagesAfterSync, apply Committed. If State is set, ReplicationMessages are
+// also sent only after the sync.
 type Ready struct {
-	Early     []*wire.RaftMessage
-	State     *wire.HardState
-	Snapshot  *wire.Snapshot
-	Entries   []*wire.LogEntry
-	Late      []*wire.RaftMessage
-	Committed []*wire.LogEntry
+	ReplicationMessages []*wire.RaftMessage
+	State               *wire.HardState
+	Snapshot            *wire.Snapshot
+	Entries             []*wire.LogEntry
+	MessagesAfterSync   []*wire.RaftMessage
+	Committed           []*wire.LogEntry
 }
 
-// progress is what a leader knows of one peer.
+// progress is a leader's view of one peer's log.
 type progress struct {
 	match uint64
 	next  uint64
-	// round is the newest heartbeat round that the peer answered.
+	// round is the latest heartbeat round that the peer acknowledged.
 	round uint64
-	// heardAt is when the peer last replied.
+	// heardAt is when the last reply of the peer arrived.
 	heardAt time.Duration
-	// snapshotAt is when a snapshot was last sent.
+	// snapshotAt is when a snapshot was last sent, or zero.
 	snapshotAt time.Duration
-	// probing holds back pipelined entries until next is confirmed.
+	// probing stops pipelining until the peer confirms next.
 	probing bool
 }
 
 // Core is the Raft protocol of one member of one group. It is not safe for
-// concurrent use. Times are durations on the owner's monotonic clock.
+// concurrent use. Times are durations on the caller's monotonic clock.
 type Core struct {
 	cfg Config
 	now time.Duration
@@ -79,7 +79,7 @@
 	// Persistent state.
 	term uint64
 	vote string
-	// entries follow the snapshot: entries[0].Index == snapIndex+1.
+	// entries are those after the snapshot: entries[0].Index == snapIndex+1.
 	entries     []*wire.LogEntry
 	snapIndex   uint64
 	snapTerm    uint64
@@ -93,30 +93,30 @@
 	commit    uint64
 	persisted uint64
 
-	// heardAt is when a valid leader was last heard of. It starts at the time
-	// of the start, so that a restarted member does not break a lease that it
-	// has forgotten granting.
-	heardAt    time.Duration
-	electionAt time.Duration
-	votes      map[string]bool
-	// poll is what is known of the other voters while there is no leader.
+	// heardAt is when a message from a valid leader last arrived. It is initialized
+	// to the start time, so that a restarted member does not violate a lease that
+	// it acknowledged before the restart.
+	heardAt          time.Duration
+	electionDeadline time.Duration
+	votes            map[string]bool
+	// poll is the state of the current poll while there is no known leader.
 	poll poll
 
-	peers       map[string]*progress
-	round       uint64
-	rounds      []roundStart
-	heartbeatAt time.Duration
-	quorumAt    time.Duration
-	transferTo  string
-	transferAt  time.Duration
+	peers            map[string]*progress
+	round            uint64
+	rounds           []roundStart
+	nextHeartbeatAt  time.Duration
+	quorumAt         time.Duration
+	transferTo       string
+	transferDeadline time.Duration
 
 	// Pending output.
-	early    []*wire.RaftMessage
-	late     []*wire.RaftMessage
-	unsaved  uint64 // first index not yet handed out to persist
-	stateOut bool
-	snapOut  *wire.Snapshot
-	applied  uint64 // last index handed out to apply
+	replicationMessages []*wire.RaftMessage
+	messagesAfterSync   []*wire.RaftMessage
+	firstUnsaved        uint64 // first index not yet returned by Ready for persisting
+	stateChanged        bool
+	snapToInstall       *wire.Snapshot
+	applied             uint64 // last index returned by Ready for applying
 }
 
 type roundStart struct {
@@ -124,7 +124,7 @@
 	at    time.Duration
 }
 
-// NewCore returns a follower with the state that was found on disk.
+// NewCore returns a follower with the state loaded from disk.
 func NewCore(cfg Config, st *wire.HardState, snap *wire.Snapshot, entries []*wire.LogEntry, now time.Duration) *Core {
 	c := &Core{
 		cfg: cfg, now: now,
@@ -135,7 +135,7 @@
 	c.commit = max(c.snapIndex, min(st.GetCommit(), c.lastIndex()))
 	c.applied = c.snapIndex
 	c.persisted = c.lastIndex()
-	c.unsaved = c.lastIndex() + 1
+	c.firstUnsaved = c.lastIndex() + 1
 	c.refreshMembers()
 	c.resetElection()
 	c.startPolling()
@@ -144,7 +144,7 @@
 
 func (c *Core) lastIndex() uint64 { return c.snapIndex + uint64(len(c.entries)) }
 
-// termAt returns the term of an index; ok is false when the log lacks it.
+// termAt returns the term of the entry at index; ok is false if the log does not contain it.
 func (c *Core) termAt(index uint64) (term uint64, ok bool) {
 	if index == c.snapIndex {
 		return c.snapTerm, true
@@ -175,27 +175,27 @@
 		c.tickLeader()
 		return
 	}
-	if now >= c.electionAt {
+	if now >= c.electionDeadline {
 		c.campaign(false)
 	}
 	c.tickPoll()
 }
 
 func (c *Core) tickLeader() {
-	if c.now-c.quorumAckedAt() > c.cfg.Election {
-		// Check-quorum: a leader that cannot reach a quorum stops being one.
+	if c.now-c.quorumAckedAt() > c.cfg.ElectionTimeout {
+		// Check-quorum: a leader that cannot reach a quorum steps down.
 		c.becomeFollower(c.term, "")
 		return
 	}
-	if c.transferTo != "" && c.now >= c.transferAt {
+	if c.transferTo != "" && c.now >= c.transferDeadline {
 		c.transferTo = ""
 	}
-	if c.now >= c.heartbeatAt {
-		c.beat()
+	if c.now >= c.nextHeartbeatAt {
+		c.sendHeartbeats()
 	}
 }
 
-// Persisted tells that all entries up to index are on disk.
+// Persisted records that all entries up to index are on disk.
 func (c *Core) Persisted(index uint64) {
 	c.persisted = min(index, c.lastIndex())
 	if c.role == Leader {
@@ -205,32 +205,32 @@
 
 // Ready returns and clears the pending output.
 func (c *Core) Ready() Ready {
-	r := Ready{Early: c.early, Late: c.late, Snapshot: c.snapOut}
-	if c.stateOut {
+	r := Ready{ReplicationMessages: c.replicationMessages, MessagesAfterSync: c.messagesAfterSync, Snapshot: c.snapToInstall}
+	if c.stateChanged {
 		r.State = c.HardState()
 	}
-	if c.unsaved <= c.lastIndex() {
-		r.Entries = c.slice(c.unsaved, c.lastIndex())
-		c.unsaved = c.lastIndex() + 1
+	if c.firstUnsaved <= c.lastIndex() {
+		r.Entries = c.slice(c.firstUnsaved, c.lastIndex())
+		c.firstUnsaved = c.lastIndex() + 1
 	}
 	if c.commit > c.applied {
-		// A leader may commit before its own write is done; a member applies
-		// only what it has on disk.
+		// A leader may commit an entry before its own write completes, but a member
+		// applies only entries that are on its disk.
 		if to := min(c.commit, c.persisted); to > c.applied {
 			r.Committed = c.slice(c.applied+1, to)
 			c.applied = to
 		}
 	}
-	c.early, c.late, c.snapOut, c.stateOut = nil, nil, nil, false
+	c.replicationMessages, c.messagesAfterSync, c.snapToInstall, c.stateChanged = nil, nil, nil, false
 	return r
 }
 
-// HardState returns what must be on disk before a message leaves.
+// HardState returns the state that must be on disk before a message of its term is sent.
 func (c *Core) HardState() *wire.HardState {
 	return &wire.HardState{Term: c.term, Vote: c.vote, Commit: c.commit}
 }
 
-// Compact drops the log up to index, which a snapshot now holds.
+// Compact drops the log entries up to index, which a snapshot now covers.
 func (c *Core) Compact(index uint64) {
 	term, ok := c.termAt(index)
 	if !ok || index <= c.snapIndex || index > c.applied {
--- a/internal/raft/core_test.go
+++ b/internal/raft/core_test.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	testHeartbeat = 10 * time.Millisecond
-	testElection  = 100 * time.Millisecond
+	testHeartbeatInterval = 10 * time.Millisecond
+	testElectionTimeout   = 100 * time.Millisecond
 )
 
-// host is one simulated member: a core and what is on its disk.
+// host is a simulated member: a core and the contents of its disk.
 type host struct {
 	id          string
 	incarnation int
 	core        *Core
 	up          bool
 	disk        disk
-	// applied are the commands applied since the disk was first used, by index.
+	// applied contains the commands applied since the disk was first used, by index.
 	applied map[uint64]string
 }
 
@@ -35,28 +35,28 @@
 	entries []*wire.LogEntry
 }
 
-// cluster is a simulated group. Its network delivers, drops, doubles and
-// reorders; its hosts crash between any two steps.
+// cluster is a simulated group. Its network delivers, drops, duplicates and
+// reorders messages; its hosts crash between any two steps.
 type cluster struct {
 	t *rapid.T
-	// r decides everything: rapid's own draws favour small numbers, with which
-	// hosts crash so often that hardly a leader is elected.
+	// r makes all random choices. Rapid's own generators favor small numbers, with which
+	// hosts crash so often that a leader is rarely elected.
 	r       *rand.Rand
 	now     time.Duration
 	hosts   []*host
 	net     []*wire.RaftMessage
-	cut     map[string]bool
+	blocked map[string]bool
 	leaders map[uint64]string
-	// chosen is the command that was ever applied at an index.
-	chosen   map[uint64]string
-	proposed int
-	// lost is the host whose disk was lost, until its new life votes; nil for none.
-	lost *host
+	// committed contains the command that any host has applied at an index.
+	committed map[uint64]string
+	proposed  int
+	// diskLost is the host that lost its disk, until its new incarnation is a voter, or nil.
+	diskLost *host
 }
 
 func newCluster(t *rapid.T, n int) *cluster {
 	seed := rapid.Uint64().Draw(t, "seed")
-	c := &cluster{t: t, r: rand.New(rand.NewPCG(seed, seed)), cut: make(map[string]bool), leaders: make(map[uint64]string), chosen: make(map[uint64]string)}
+	c := &cluster{t: t, r: rand.New(rand.NewPCG(seed, seed)), blocked: make(map[string]bool), leaders: make(map[uint64]string), committed: make(map[uint64]string)}
 	founders := &wire.Members{}
 	for i := range n {
 		founders.Members = append(founders.Members, &wire.Member{Id: fmt.Sprintf("k%d", i), Incarnation: "0"})
@@ -65,14 +65,14 @@
 		h := &host{id: fmt.Sprintf("k%d", i), disk: disk{state: &wire.HardState{}, snap: &wire.Snapshot{Members: founders}}}
 		h.applied = make(map[uint64]string)
 		c.hosts = append(c.hosts, h)
-		c.boot(h)
+		c.start(h)
 	}
 	return c
 }
 
-func (c *cluster) boot(h *host) {
+func (c *cluster) start(h *host) {
 	cfg := Config{
-		Group: "g", ID: h.id, Incarnation: fmt.Sprint(h.incarnation), Heartbeat: testHeartbeat, Election: testElection,
+		Group: "g", ID: h.id, Incarnation: fmt.Sprint(h.incarnation), HeartbeatInterval: testHeartbeatInterval, ElectionTimeout: testElectionTimeout,
 		Rand:     c.r.Int64N,
 		Snapshot: func() *wire.Snapshot { return h.disk.snap },
 	}
@@ -80,7 +80,8 @@
 	h.up = true
 }
 
-// process carries out what a core wants; crash ends it after that many steps.
+// process handles the output of a core; the host crashes after crash steps, or never if crash
+// is negative.
 func (c *cluster) process(h *host, crash int) {
 	for {
 		r := h.core.Ready()
@@ -88,7 +89,7 @@
 			return
 		}
 		if r.State == nil {
-			c.net = append(c.net, r.Early...)
+			c.net = append(c.net, r.ReplicationMessages...)
 		}
 		if crash == 0 {
 			c.crash(h)
@@ -101,9 +102,9 @@
 		}
 		h.core.Persisted(h.core.lastIndex())
 		if r.State != nil {
-			c.net = append(c.net, r.Early...)
+			c.net = append(c.net, r.ReplicationMessages...)
 		}
-		c.net = append(c.net, r.Late...)
+		c.net = append(c.net, r.MessagesAfterSync...)
 		c.apply(h, r.Committed)
 	}
 }
@@ -123,20 +124,20 @@
 
 func (c *cluster) crash(h *host) { h.up = false }
 
-// apply checks that no two hosts ever apply different commands at an index.
+// apply checks that all hosts apply the same command at an index.
 func (c *cluster) apply(h *host, entries []*wire.LogEntry) {
 	for _, e := range entries {
 		v := e.GetKind().String() + string(e.GetData())
-		if have, ok := c.chosen[e.GetIndex()]; ok && have != v {
-			c.t.Fatalf("%s applies %q at %d, where %q was applied before", h.id, v, e.GetIndex(), have)
+		if have, ok := c.committed[e.GetIndex()]; ok && have != v {
+			c.t.Fatalf("%s applies %q at index %d, but %q was applied there before", h.id, v, e.GetIndex(), have)
 		}
-		c.chosen[e.GetIndex()] = v
+		c.committed[e.GetIndex()] = v
 		h.applied[e.GetIndex()] = v
 	}
 }
 
-// crashPoint draws where a step crashes: seldom, or nothing would ever be
-// chosen.
+// crashPoint returns a random step at which processing crashes, or -1 for none. Crashes
+// are rare, since otherwise nothing would be committed.
 func (c *cluster) crashPoint() int {
 	if n := c.r.IntN(120); n < 2 {
 		return n
@@ -144,7 +145,7 @@
 	return -1
 }
 
-func (c *cluster) pick() *host { return c.hosts[c.r.IntN(len(c.hosts))] }
+func (c *cluster) randomHost() *host { return c.hosts[c.r.IntN(len(c.hosts))] }
 
 func (c *cluster) find(id string) *host {
 	for _, h := range c.hosts {
@@ -155,21 +156,21 @@
 	return nil
 }
 
-// deliver takes one message off the network.
-func (c *cluster) deliver(i int, again bool) {
+// deliver delivers message i; keep leaves a duplicate of it on the network.
+func (c *cluster) deliver(i int, keep bool) {
 	m := c.net[i]
-	if !again {
+	if !keep {
 		c.net = slices.Delete(c.net, i, i+1)
 	}
 	h := c.find(m.GetTo())
-	if h == nil || !h.up || c.cut[m.GetFrom()+m.GetTo()] {
+	if h == nil || !h.up || c.blocked[m.GetFrom()+m.GetTo()] {
 		return
 	}
 	h.core.Step(c.now, proto.CloneOf(m))
 	c.process(h, c.crashPoint())
 }
 
-// check verifies what must hold at all times.
+// check verifies the invariants: one leader per term and at most one lease.
 func (c *cluster) check() {
 	leases := 0
 	for _, h := range c.hosts {
@@ -192,27 +193,27 @@
 	}
 }
 
-// checkReads verifies that a leader with a lease knows of all that was applied
-// anywhere: reads at it are linearizable.
+// checkReads verifies that a leader with a lease has committed every entry that any host
+// has applied, so that reads from it are linearizable.
 func (c *cluster) checkReads(h *host) {
-	for index := range c.chosen {
+	for index := range c.committed {
 		if index > h.core.commit {
-			c.t.Fatalf("%s would answer reads without entry %d, which was applied (its commit is %d)", h.id, index, h.core.commit)
+			c.t.Fatalf("%s would serve reads without entry %d, which was applied (its commit index is %d)", h.id, index, h.core.commit)
 		}
 	}
 }
 
-// actions lists what may happen next; one that stands twice happens more often.
+// actions returns the possible actions; repeated ones are more likely.
 func (c *cluster) actions() []func() {
 	return []func(){
 		c.round, c.round, c.round, c.round, c.elect, c.exchange, c.propose, c.propose, c.propose,
-		c.isolate, c.heal, c.heal, c.heal, c.cutOne, c.double, c.drop, c.tick, c.deliverSome,
-		func() { c.restart(c.pick()) }, func() { c.restart(c.pick()) }, func() { c.crash(c.pick()) },
-		func() { c.compact(c.pick()) }, c.transfer, c.restartAll, c.tellRefused, c.tellRefused,
+		c.isolate, c.heal, c.heal, c.heal, c.blockOneWay, c.duplicate, c.drop, c.tick, c.deliverSome,
+		func() { c.restart(c.randomHost()) }, func() { c.restart(c.randomHost()) }, func() { c.crash(c.randomHost()) },
+		func() { c.compact(c.randomHost()) }, c.transfer, c.restartAll, c.reportRefused, c.reportRefused,
 	}
 }
 
-// restartAll crashes all hosts at once, and starts them again.
+// restartAll crashes all hosts simultaneously and restarts them.
 func (c *cluster) restartAll() {
 	for _, h := range c.hosts {
 		c.crash(h)
@@ -222,30 +223,30 @@
 	}
 }
 
-// tellRefused tells one host that another one refuses connections, whether or not
-// that one runs: a firewall does the same.
-func (c *cluster) tellRefused() {
-	if h := c.pick(); h.up {
-		h.core.PeerRefused(c.now, c.pick().id)
+// reportRefused reports to one host that another one refuses connections, whether or not
+// it is running, as a firewall would cause.
+func (c *cluster) reportRefused() {
+	if h := c.randomHost(); h.up {
+		h.core.ReportConnectionRefused(c.now, c.randomHost().id)
 		c.process(h, c.crashPoint())
 	}
 }
 
 func (c *cluster) isolate() {
-	h := c.pick()
+	h := c.randomHost()
 	for _, o := range c.hosts {
-		c.cut[h.id+o.id], c.cut[o.id+h.id] = true, true
+		c.blocked[h.id+o.id], c.blocked[o.id+h.id] = true, true
 	}
 }
 
-func (c *cluster) heal() { c.cut = make(map[string]bool) }
+func (c *cluster) heal() { c.blocked = make(map[string]bool) }
 
-func (c *cluster) cutOne() {
-	a, b := c.pick(), c.pick()
-	c.cut[a.id+b.id] = true // one way only
+func (c *cluster) blockOneWay() {
+	a, b := c.randomHost(), c.randomHost()
+	c.blocked[a.id+b.id] = true // in one direction only
 }
 
-func (c *cluster) double() {
+func (c *cluster) duplicate() {
 	if len(c.net) > 0 {
 		c.deliver(c.r.IntN(len(c.net)), true)
 	}
@@ -258,7 +259,7 @@
 }
 
 func (c *cluster) tick() {
-	c.now += time.Duration(c.r.Int64N(int64(testElection)))
+	c.now += time.Duration(c.r.Int64N(int64(testElectionTimeout)))
 	for _, h := range c.hosts {
 		if h.up {
 			h.core.Tick(c.now)
@@ -276,7 +277,7 @@
 }
 
 func (c *cluster) propose() {
-	h := c.pick()
+	h := c.randomHost()
 	for _, o := range c.hosts {
 		if o.up && o.core.role == Leader {
 			h = o
@@ -292,13 +293,13 @@
 }
 
 func (c *cluster) transfer() {
-	if h := c.pick(); h.up {
-		h.core.Transfer()
+	if h := c.randomHost(); h.up {
+		h.core.TransferLeadership()
 		c.process(h, -1)
 	}
 }
 
-// exchange delivers what is on the way, and the answers to it, but for some.
+// exchange delivers the messages in flight and the replies to them, dropping some.
 func (c *cluster) exchange() {
 	for i := 0; len(c.net) > 0 && i < 60; i++ {
 		if c.r.IntN(12) == 0 {
@@ -310,9 +311,9 @@
 	}
 }
 
-// round lets a heartbeat's time pass and delivers.
+// round advances the clock by a heartbeat interval and delivers messages.
 func (c *cluster) round() {
-	c.now += testHeartbeat
+	c.now += testHeartbeatInterval
 	for _, h := range c.hosts {
 		if h.up {
 			h.core.Tick(c.now)
@@ -322,13 +323,13 @@
 	c.exchange()
 }
 
-// elect lets one host campaign, once the others have forgotten their leader.
+// elect lets one host campaign after the other hosts' leader has timed out.
 func (c *cluster) elect() {
-	h := c.pick()
+	h := c.randomHost()
 	if !h.up {
 		return
 	}
-	c.now += 2 * testElection
+	c.now += 2 * testElectionTimeout
 	h.core.Tick(c.now)
 	c.process(h, -1)
 	c.exchange()
@@ -336,7 +337,7 @@
 
 func (c *cluster) restart(h *host) {
 	if !h.up {
-		c.boot(h)
+		c.start(h)
 		c.process(h, -1)
 	}
 }
@@ -349,18 +350,18 @@
 	term, _ := h.core.termAt(index)
 	snap := &wire.Snapshot{Index: index, Term: term, Members: h.core.MembersAt(index)}
 	h.core.Compact(index)
-	h.disk.snap, h.disk.entries = snap, slices.Clone(h.core.slice(index+1, h.core.unsaved-1))
+	h.disk.snap, h.disk.entries = snap, slices.Clone(h.core.slice(index+1, h.core.firstUnsaved-1))
 }
 
-// settle heals everything and checks that the group makes progress.
+// settle ends all faults and checks that the group makes progress.
 func (c *cluster) settle() {
-	c.cut = make(map[string]bool)
+	c.blocked = make(map[string]bool)
 	for _, h := range c.hosts {
 		c.restart(h)
 	}
-	before := len(c.chosen)
+	before := len(c.committed)
 	for range 400 {
-		c.now += testHeartbeat
+		c.now += testHeartbeatInterval
 		for _, h := range c.hosts {
 			h.core.Tick(c.now)
 			c.process(h, -1)
@@ -381,13 +382,13 @@
 			}
 		}
 	}
-	if len(c.chosen) <= before {
+	if len(c.committed) <= before {
 		c.t.Fatalf("no progress after everything healed")
 	}
 	commit := c.hosts[0].core.commit
 	for _, h := range c.hosts {
 		if h.core.commit+50 < commit {
-			c.t.Fatalf("%s stays behind: %d of %d", h.id, h.core.commit, commit)
+			c.t.Fatalf("%s lags behind: commit index %d of %d", h.id, h.core.commit, commit)
 		}
 	}
 }
@@ -395,12 +396,12 @@
 func TestCoreIsSafeUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "hosts"))
-		c.play(c.actions())
+		c.simulate(c.actions())
 	})
 }
 
-// play takes actions at random and checks after each; then all is healed.
-func (c *cluster) play(actions []func()) {
+// simulate runs random actions and checks the invariants after each; then it ends all faults.
+func (c *cluster) simulate(actions []func()) {
 	const steps = 300
 	for range steps {
 		actions[c.r.IntN(len(actions))]()
@@ -412,35 +413,35 @@
 	c.settle()
 }
 
-// A member that lost its disk is another incarnation: messages for its old self
-// do not reach it, and it does not vote in the old one's name.
+// Checks that a member that lost its disk, and so has a new incarnation, ignores messages
+// to its previous incarnation and does not vote.
 func TestLostDiskDoesNotVote(t *testing.T) {
 	members := &wire.Members{Members: []*wire.Member{
 		{Id: "k0", Incarnation: "0"}, {Id: "k1", Incarnation: "0"}, {Id: "k2", Incarnation: "0"},
 	}}
-	reborn := NewCore(Config{Group: "g", ID: "k2", Incarnation: "1", Heartbeat: testHeartbeat, Election: testElection, Rand: func(int64) int64 { return 0 }},
+	replaced := NewCore(Config{Group: "g", ID: "k2", Incarnation: "1", HeartbeatInterval: testHeartbeatInterval, ElectionTimeout: testElectionTimeout, Rand: func(int64) int64 { return 0 }},
 		&wire.HardState{}, &wire.Snapshot{Members: members}, nil, 0)
 	tests := []struct {
 		name string
 		m    *wire.RaftMessage
 	}{
-		{"vote for the old self", &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_VOTE, ToIncarnation: "0", Term: 1}},
-		{"vote for the new self", &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_VOTE, ToIncarnation: "1", Term: 1}},
+		{"vote request to the previous incarnation", &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_VOTE, ToIncarnation: "0", Term: 1}},
+		{"vote request to the new incarnation", &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_VOTE, ToIncarnation: "1", Term: 1}},
 		{"pre-vote", &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_PRE_VOTE, ToIncarnation: "1", Term: 5}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			tt.m.Group, tt.m.From, tt.m.FromIncarnation, tt.m.To = "g", "k0", "0", "k2"
-			reborn.Step(10*testElection, tt.m)
-			for _, r := range reborn.Ready().Late {
+			replaced.Step(10*testElectionTimeout, tt.m)
+			for _, r := range replaced.Ready().MessagesAfterSync {
 				if !r.GetReject() {
 					t.Errorf("granted: %v", r)
 				}
 			}
 		})
 	}
-	reborn.Tick(100 * testElection)
-	if reborn.role != Follower {
-		t.Errorf("campaigns without a vote: role %v", reborn.role)
+	replaced.Tick(100 * testElectionTimeout)
+	if replaced.role != Follower {
+		t.Errorf("campaigns although it is not a voter: role %v", replaced.role)
 	}
 }
--- a/internal/raft/doc.go
+++ b/internal/raft/doc.go
@@ -1,22 +1,22 @@
 // Package raft replicates a log of commands among the keepers of one group.
 //
-// It follows the published Raft rules (D. Ongaro, "Consensus: Bridging Theory
-// and Practice", 2014): leader election with pre-vote and leader stickiness,
-// check-quorum, leadership transfer, single-step membership change with
+// It implements Raft as described in D. Ongaro, "Consensus: Bridging Theory
+// and Practice", 2014: leader election with pre-vote and leader stickiness,
+// check-quorum, leadership transfer, single-server membership changes with
 // learners, snapshots, and writing to the leader's disk in parallel with
 // replication (§10.2.1).
 //
-// Two things are its own: a poll (poll.go), by which members that were all restarted
-// elect a leader before an election timeout has passed, and [Node.PeerRefused], by
-// which they poll before the silence of a leader that has restarted shows.
+// It extends Raft in two ways. A poll (poll.go) lets members that were all restarted
+// elect a leader before an election timeout has passed. [Node.ReportConnectionRefused]
+// lets followers poll before they time out on a leader that has restarted.
 //
-// [Core] is the protocol alone: no clock, no disk, no network. It takes
+// [Core] is the protocol alone, without clock, disk or network. It takes
 // messages and the time and yields a [Ready]: what to persist, send and apply.
 // [Storage] keeps the log, the vote and the snapshot on disk. [Node] drives a
-// Core: one goroutine owns it, batches what has arrived, syncs once for the
-// batch, and applies what is committed to a sumachead.StateMachine.
+// Core: a single goroutine owns it, batches received messages, syncs once per
+// batch, and applies committed commands to a sumachead.StateMachine.
 //
-// A member is known by its id and its incarnation. The incarnation is drawn
-// when an empty data folder is first used; a keeper that lost its disk is thus
-// another member, which cannot vote in its old self's name.
+// A member is identified by its id and its incarnation. The incarnation is
+// generated at random when an empty data directory is first used, so a keeper that lost its
+// disk is a different member and cannot vote as its previous incarnation.
 package raft
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -9,13 +9,13 @@
 )
 
 func (c *Core) resetElection() {
-	spread := int64(c.cfg.Election)
-	c.electionAt = c.now + c.cfg.Election + time.Duration(c.cfg.Rand(spread))
+	spread := int64(c.cfg.ElectionTimeout)
+	c.electionDeadline = c.now + c.cfg.ElectionTimeout + time.Duration(c.cfg.Rand(spread))
 }
 
 func (c *Core) setTerm(term uint64, vote string) {
-	c.term, c.vote, c.stateOut = term, vote, true
-	c.poll.idle = nil // what a round has shown holds for one term
+	c.term, c.vote, c.stateChanged = term, vote, true
+	c.poll.leaderless = nil // the results of a poll round are valid for one term only
 }
 
 func (c *Core) becomeFollower(term uint64, leader string) {
@@ -27,7 +27,7 @@
 	c.resetElection()
 }
 
-// campaign starts a pre-vote round, or a real election on a transfer.
+// campaign starts a pre-vote, or an election without pre-vote for a leadership transfer.
 func (c *Core) campaign(transfer bool) {
 	c.resetElection()
 	if !c.isVoter(c.cfg.ID) {
@@ -58,7 +58,7 @@
 		if m.GetId() == c.cfg.ID {
 			continue
 		}
-		c.sendLate(m, &wire.RaftMessage{
+		c.sendAfterSync(m, &wire.RaftMessage{
 			Kind: kind, Term: term, Transfer: transfer,
 			LogIndex: c.lastIndex(), LogTerm: c.lastTerm(),
 		})
@@ -84,39 +84,39 @@
 
 func (c *Core) becomeLeader() {
 	c.role, c.leader, c.votes = Leader, c.cfg.ID, nil
-	c.poll.idle = nil
+	c.poll.leaderless = nil
 	c.peers = make(map[string]*progress)
 	c.rounds = nil
 	c.quorumAt = c.now
 	c.transferTo = ""
 	c.trackPeers()
-	c.appendFirst()
-	c.beat()
+	c.appendFirstEntry()
+	c.sendHeartbeats()
 }
 
-// appendFirst appends the entry by which a new leader commits what came before.
-// The first leader of a group writes the founders down, so that a member that
-// joins later learns them from the log.
-func (c *Core) appendFirst() {
+// appendFirstEntry appends the entry with which a new leader commits the entries of
+// earlier terms. The first leader of a group writes the founders to the log, so that
+// members that join later learn them from it.
+func (c *Core) appendFirstEntry() {
 	if c.memberIndex > 0 {
 		c.append(wire.EntryKind_ENTRY_KIND_NOOP, nil)
 		return
 	}
 	data, err := proto.Marshal(c.members)
 	if err != nil {
-		panic("raft: members do not encode: " + err.Error())
+		panic("raft: encoding members: " + err.Error())
 	}
 	c.append(wire.EntryKind_ENTRY_KIND_MEMBERS, data)
 }
 
-// Transfer hands leadership to the most advanced voter; ok is false when there
-// is none.
-func (c *Core) Transfer() bool {
+// TransferLeadership transfers leadership to the voter with the most complete log. It
+// reports whether there is another voter.
+func (c *Core) TransferLeadership() bool {
 	if c.role != Leader {
 		return false
 	}
 	best := ""
-	c.eachPeer(func(id string) {
+	c.forEachPeer(func(id string) {
 		if c.isVoter(id) && (best == "" || c.peers[id].match > c.peers[best].match) {
 			best = id
 		}
@@ -124,7 +124,7 @@
 	if best == "" {
 		return false
 	}
-	c.transferTo, c.transferAt = best, c.now+c.cfg.Election
+	c.transferTo, c.transferDeadline = best, c.now+c.cfg.ElectionTimeout
 	c.sendTimeoutNow()
 	return true
 }
@@ -134,5 +134,5 @@
 	if p == nil || p.match < c.lastIndex() {
 		return
 	}
-	c.sendLate(c.member(c.transferTo), &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_TIMEOUT_NOW, Term: c.term})
+	c.sendAfterSync(c.member(c.transferTo), &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_TIMEOUT_NOW, Term: c.term})
 }
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -8,7 +8,7 @@
 	"sumachead/api/wire"
 )
 
-// refreshMembers takes the newest configuration in the log, committed or not.
+// refreshMembers applies the latest configuration in the log, committed or not.
 func (c *Core) refreshMembers() {
 	c.members, c.memberIndex = c.snapMembers, c.snapIndex
 	for _, e := range slices.Backward(c.entries) {
@@ -26,8 +26,8 @@
 func decodeMembers(e *wire.LogEntry) *wire.Members {
 	m := &wire.Members{}
 	if err := proto.Unmarshal(e.GetData(), m); err != nil {
-		// The log is checksummed and written by this package.
-		panic("raft: members entry does not decode: " + err.Error())
+		// The log has checksums and is written only by this package.
+		panic("raft: decoding members entry: " + err.Error())
 	}
 	return m
 }
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// isVoter reports whether id votes; for this member the incarnation must match.
+// isVoter reports whether id is a voter; for this member the incarnation must match too.
 func (c *Core) isVoter(id string) bool {
 	m := c.member(id)
 	if m == nil || m.GetLearner() {
@@ -62,9 +62,9 @@
 
 func (c *Core) quorum() int { return len(c.voters())/2 + 1 }
 
-// ProposeMembers starts a membership change that differs from the present
-// configuration in one voter at most. It is refused while another change, or
-// this leader's first entry, is not committed.
+// ProposeMembers starts a membership change. The new configuration must differ from the
+// current one in at most one voter. The change is rejected until the previous change and
+// this leader's first entry are committed.
 func (c *Core) ProposeMembers(m *wire.Members) (index uint64, ok bool) {
 	if c.role != Leader || c.memberIndex > c.commit {
 		return 0, false
@@ -87,7 +87,7 @@
 	return index, true
 }
 
-// MembersAt returns the configuration in force at an index of the log.
+// MembersAt returns the configuration at an index of the log.
 func (c *Core) MembersAt(index uint64) *wire.Members {
 	ms := c.snapMembers
 	for _, e := range c.entries {
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -16,50 +16,50 @@
 	"sumachead/internal/loop"
 )
 
-// The defaults of a Node.
+// The default settings of a Node.
 const (
-	DefaultHeartbeat     = 60 * time.Millisecond
-	DefaultElection      = 500 * time.Millisecond
-	DefaultSnapshotEvery = 20000
-	maxBatch             = 1024
-	inboxSize            = 4096
+	DefaultHeartbeatInterval = 60 * time.Millisecond
+	DefaultElection          = 500 * time.Millisecond
+	DefaultSnapshotThreshold = 20000
+	maxBatchSize             = 1024
+	queueSize                = 4096
 )
 
-// ErrUncertain says that a command may or may not take effect later.
+// ErrUncertain means that a command may or may not take effect.
 var ErrUncertain = errors.New("outcome of the command is not known")
 
-// ErrStopped says that the node has stopped.
+// ErrStopped means that the node has stopped.
 var ErrStopped = errors.New("node has stopped")
 
-// NotLeaderError says that another member leads: nothing was done.
+// NotLeaderError means that this member is not the leader and the call had no effect.
 type NotLeaderError struct {
-	// Leader is the id of the leader; empty when unknown.
+	// Leader is the id of the leader, or empty if it is unknown.
 	Leader string
 }
 
 // Error implements error.
 func (e *NotLeaderError) Error() string { return "not the leader; leader: " + e.Leader }
 
-// Node runs one member of one group. Set the exported fields, then call Open
-// and Run.
+// Node runs one member of one group. Set the exported fields before calling Open and
+// then Run.
 type Node struct {
 	Group       sumachead.GroupID
 	ID          string
 	Incarnation string
-	// Dir is the group's own folder.
+	// Dir is the data directory of the group.
 	Dir     string
 	Machine sumachead.StateMachine
-	// Send passes messages to other members; it must not block.
+	// Send sends messages to other members; it must not block.
 	Send func([]*wire.RaftMessage)
-	// Founders is the first configuration, used when the folder is empty.
+	// Founders is the initial configuration, used if Dir is empty.
 	Founders      *wire.Members
 	Heartbeat     time.Duration
 	Election      time.Duration
 	SnapshotEvery uint64
 	Log           hclog.Logger
-	// Clock bounds leases; nil for the host's.
+	// Clock is the clock for timeouts and leases; nil means the host's boot-time clock.
 	Clock sumachead.Clock
-	// Synced is told how long each synced write took; nil for nobody.
+	// ObserveSync, if not nil, is called with the duration of each synced write.
 	Synced func(time.Duration)
 
 	storage *Storage
@@ -71,20 +71,20 @@
 	calls     chan func()
 	stopped   chan struct{}
 
-	// The goroutine of Run owns the fields below.
+	// The fields below are owned by the goroutine of Run.
 	pending      map[uint64]*proposal
 	pendingTerm  uint64
 	appliedIndex uint64
 	snapIndex    uint64
 	wasLeader    bool
-	// preparing is the snapshot that is being written; nil for none.
-	preparing *preparation
-	// publishedMembers is the configuration that status shows.
+	// pendingSnapshot is the snapshot that is being written, or nil.
+	pendingSnapshot *snapshotWrite
+	// publishedMembers is the configuration in status.
 	publishedMembers *wire.Members
 
 	status atomic.Pointer[wire.GroupStatus]
-	// led is open while a leader is known.
-	led loop.Gate
+	// hasLeader is open while a leader is known.
+	hasLeader loop.Gate
 }
 
 type proposal struct {
@@ -97,7 +97,7 @@
 	err    error
 }
 
-// Open reads the folder and restores the state machine.
+// Open reads the data directory and restores the state machine.
 func (n *Node) Open() error {
 	n.setDefaults()
 	storage, entries, err := OpenStorage(n.Dir)
@@ -117,7 +117,7 @@
 	n.appliedIndex, n.snapIndex = snap.GetIndex(), snap.GetIndex()
 	cfg := Config{
 		Group: string(n.Group), ID: n.ID, Incarnation: n.Incarnation,
-		Heartbeat: n.Heartbeat, Election: n.Election, Rand: rand.Int64N,
+		HeartbeatInterval: n.Heartbeat, ElectionTimeout: n.Election, Rand: rand.Int64N,
 		Snapshot: func() *wire.Snapshot { return n.storage.snapshot },
 	}
 	n.core = NewCore(cfg, storage.state, snap, entries, 0)
@@ -127,13 +127,13 @@
 
 func (n *Node) setDefaults() {
 	if n.Heartbeat == 0 {
-		n.Heartbeat = DefaultHeartbeat
+		n.Heartbeat = DefaultHeartbeatInterval
 	}
 	if n.Election == 0 {
 		n.Election = DefaultElection
 	}
 	if n.SnapshotEvery == 0 {
-		n.SnapshotEvery = DefaultSnapshotEvery
+		n.SnapshotEvery = DefaultSnapshotThreshold
 	}
 	if n.Log == nil {
 		n.Log = hclog.NewNullLogger()
@@ -142,18 +142,18 @@
 		n.Clock = boottime.Clock{}
 	}
 	n.start = n.Clock.Now()
-	n.inbox = make(chan []*wire.RaftMessage, inboxSize)
-	n.proposals = make(chan *proposal, inboxSize)
-	n.calls = make(chan func(), inboxSize)
+	n.inbox = make(chan []*wire.RaftMessage, queueSize)
+	n.proposals = make(chan *proposal, queueSize)
+	n.calls = make(chan func(), queueSize)
 	n.stopped = make(chan struct{})
 	n.pending = make(map[uint64]*proposal)
 }
 
-// now returns the time by which the core goes. It does not stand still while the host is
-// suspended: a leader that wakes must not hold a lease that its followers have seen end.
+// now returns the time for the core. It includes time during which the host is suspended:
+// a leader that resumes must not hold a lease that has expired for its followers.
 func (n *Node) now() time.Duration { return n.Clock.Now().Sub(n.start) }
 
-// Run drives the member until ctx ends or the disk fails.
+// Run runs the member until ctx is done or an operation on the disk fails.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.shutDown()
 	ticker := time.NewTicker(n.Heartbeat / 4)
@@ -163,38 +163,38 @@
 		case <-ctx.Done():
 			return nil
 		case batch := <-n.inbox:
-			n.step(batch)
+			n.stepBatch(batch)
 		case p := <-n.proposals:
 			n.core.Tick(n.now())
-			n.propose(p)
+			n.proposeBatch(p)
 		case f := <-n.calls:
 			n.core.Tick(n.now())
 			f()
 		case <-ticker.C:
 			n.core.Tick(n.now())
-			if err := n.tidy(); err != nil {
+			if err := n.maintain(); err != nil {
 				return trace.Wrap(err, "group %s", n.Group)
 			}
 		}
-		if err := n.process(); err != nil {
+		if err := n.processReady(); err != nil {
 			return trace.Wrap(err, "group %s", n.Group)
 		}
 	}
 }
 
 func (n *Node) shutDown() {
-	n.dropPrepared()
+	n.discardPendingSnapshot()
 	close(n.stopped)
 	n.failPending(ErrUncertain)
 	if err := n.storage.Close(); err != nil {
-		n.Log.Error("Closing the log failed.", "error", err)
+		n.Log.Error("Failed to close the log.", "error", err)
 	}
 }
 
-// step takes in a batch and whatever else has arrived.
-func (n *Node) step(batch []*wire.RaftMessage) {
+// stepBatch handles a batch of messages and further batches that are already queued.
+func (n *Node) stepBatch(batch []*wire.RaftMessage) {
 	n.core.Tick(n.now())
-	for range maxBatch {
+	for range maxBatchSize {
 		for _, m := range batch {
 			n.core.Step(n.now(), m)
 		}
@@ -206,10 +206,10 @@
 	}
 }
 
-// propose takes in a proposal and all that wait behind it.
-func (n *Node) propose(p *proposal) {
+// proposeBatch proposes p together with the proposals that are already queued.
+func (n *Node) proposeBatch(p *proposal) {
 	batch := []*proposal{p}
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchSize {
 		select {
 		case p = <-n.proposals:
 			batch = append(batch, p)
@@ -232,28 +232,28 @@
 	}
 }
 
-// process carries out what the core wants done, until it wants no more.
-func (n *Node) process() error {
+// processReady handles the output of the core until there is none left.
+func (n *Node) processReady() error {
 	for {
-		n.noteLeadership()
+		n.updateLeadership()
 		r := n.core.Ready()
 		if r.empty() {
 			n.publish()
 			return nil
 		}
 		if r.State == nil {
-			n.send(r.Early)
+			n.send(r.ReplicationMessages)
 		}
 		if err := n.persist(r); err != nil {
 			return err
 		}
 		if r.State != nil {
-			// Nothing of a term leaves before the term is on disk: a leader
-			// that was elected by itself alone could use the term twice.
-			n.send(r.Early)
+			// Messages of a term are sent only after the term is on disk: the leader
+			// of a single-voter group could otherwise use the same term twice.
+			n.send(r.ReplicationMessages)
 		}
 		n.core.Persisted(n.core.lastIndex())
-		n.send(r.Late)
+		n.send(r.MessagesAfterSync)
 		n.apply(r.Committed)
 		if err := n.compact(); err != nil {
 			return err
@@ -263,7 +263,7 @@
 
 func (r *Ready) empty() bool {
 	return r.State == nil && r.Snapshot == nil &&
-		len(r.Early)+len(r.Entries)+len(r.Late)+len(r.Committed) == 0
+		len(r.ReplicationMessages)+len(r.Entries)+len(r.MessagesAfterSync)+len(r.Committed) == 0
 }
 
 func (n *Node) send(ms []*wire.RaftMessage) {
@@ -283,7 +283,7 @@
 	if r.State != nil {
 		n.storage.state = r.State
 	}
-	n.dropPrepared()
+	n.discardPendingSnapshot()
 	if err := n.Machine.Restore(r.Snapshot.GetData()); err != nil {
 		return err
 	}
@@ -292,12 +292,12 @@
 	return n.storage.SaveSnapshot(r.Snapshot, r.Entries)
 }
 
-// save writes to the log and tells how long that took.
+// save writes to the log and reports the duration to ObserveSync.
 func (n *Node) save(state *wire.HardState, entries []*wire.LogEntry) error {
-	begun := time.Now()
+	begin := time.Now()
 	err := n.storage.Save(state, entries)
 	if n.Synced != nil && (state != nil || len(entries) > 0) {
-		n.Synced(time.Since(begun))
+		n.Synced(time.Since(begin))
 	}
 	return err
 }
@@ -322,10 +322,11 @@
 	}
 }
 
-// noteLeadership fails what waits when this member stops leading.
-func (n *Node) noteLeadership() {
-	leads := n.core.role == Leader
-	if leads {
+// updateLeadership logs changes of leadership and fails the pending proposals when this
+// member loses it.
+func (n *Node) updateLeadership() {
+	isLeader := n.core.role == Leader
+	if isLeader {
 		if !n.wasLeader {
 			n.Log.Info("Leading.", "term", n.core.term)
 		}
@@ -346,7 +347,7 @@
 	}
 }
 
-// publish makes the state visible to Status.
+// publish updates the status that Status returns.
 func (n *Node) publish() {
 	c := n.core
 	s := n.status.Load()
@@ -355,7 +356,7 @@
 		return
 	}
 	n.publishedMembers = c.members
-	defer n.led.Set(c.leader != "")
+	defer n.hasLeader.Set(c.leader != "")
 	n.status.Store(&wire.GroupStatus{
 		Group: string(n.Group), Leader: c.leader, Term: c.term,
 		Commit: c.commit, Applied: n.appliedIndex, Members: c.members.GetMembers(),
--- a/internal/raft/node_test.go
+++ b/internal/raft/node_test.go
@@ -14,7 +14,7 @@
 	"sumachead/api/wire"
 )
 
-// register is a state machine that holds one number.
+// register is a state machine that stores one number.
 type register struct {
 	mu    sync.Mutex
 	value int
@@ -41,12 +41,12 @@
 	return err
 }
 
-// group is a set of real nodes over a network that delays, drops and cuts.
+// group is a set of nodes over a network that delays and drops messages and partitions members.
 type group struct {
-	t    *testing.T
-	mu   sync.Mutex // guards the fields below
-	live map[string]*member
-	cut  map[string]bool
+	t           *testing.T
+	mu          sync.Mutex // guards the fields below
+	running     map[string]*member
+	partitioned map[string]bool
 }
 
 type member struct {
@@ -63,7 +63,7 @@
 		Heartbeat: 10 * time.Millisecond, Election: 80 * time.Millisecond, SnapshotEvery: 50,
 		Send: func(ms []*wire.RaftMessage) {
 			for _, x := range ms {
-				go g.carry(x)
+				go g.deliver(x)
 			}
 		},
 	}
@@ -76,13 +76,13 @@
 	go func() { m.done <- m.node.Run(ctx) }()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.live[id] = m
+	g.running[id] = m
 }
 
 func (g *group) stop(id string) {
 	g.mu.Lock()
-	m := g.live[id]
-	delete(g.live, id)
+	m := g.running[id]
+	delete(g.running, id)
 	g.mu.Unlock()
 	if m == nil {
 		return
@@ -93,21 +93,21 @@
 	}
 }
 
-func (g *group) carry(m *wire.RaftMessage) {
+func (g *group) deliver(m *wire.RaftMessage) {
 	time.Sleep(time.Duration(rand.Int64N(int64(3 * time.Millisecond))))
 	g.mu.Lock()
-	to := g.live[m.GetTo()]
-	blocked := g.cut[m.GetFrom()] || g.cut[m.GetTo()] || rand.IntN(50) == 0
+	to := g.running[m.GetTo()]
+	blocked := g.partitioned[m.GetFrom()] || g.partitioned[m.GetTo()] || rand.IntN(50) == 0
 	g.mu.Unlock()
 	if to != nil && !blocked {
 		to.node.Step([]*wire.RaftMessage{m})
 	}
 }
 
-func (g *group) any(ids []string) *member {
+func (g *group) randomMember(ids []string) *member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.live[ids[rand.IntN(len(ids))]]
+	return g.running[ids[rand.IntN(len(ids))]]
 }
 
 type input struct {
@@ -126,16 +126,16 @@
 	},
 }
 
-// client writes and reads until ctx ends. An operation whose outcome is not
-// known stays open for ever.
-func (g *group) client(ctx context.Context, id int, ids []string, began time.Time, record func(porcupine.Operation)) {
+// client writes and reads until ctx is done. An operation whose outcome is unknown never
+// returns in the recorded history.
+func (g *group) client(ctx context.Context, id int, ids []string, start time.Time, record func(porcupine.Operation)) {
 	for n := 0; ctx.Err() == nil; n++ {
-		m := g.any(ids)
+		m := g.randomMember(ids)
 		if m == nil {
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		op := porcupine.Operation{ClientId: id, Input: input{write: rand.IntN(2) == 0, value: id*100000 + n}, Call: time.Since(began).Nanoseconds()}
+		op := porcupine.Operation{ClientId: id, Input: input{write: rand.IntN(2) == 0, value: id*100000 + n}, Call: time.Since(start).Nanoseconds()}
 		opCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		known, failed := m.run(opCtx, &op)
 		cancel()
@@ -143,7 +143,7 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		op.Return = time.Since(began).Nanoseconds()
+		op.Return = time.Since(start).Nanoseconds()
 		if !known {
 			op.Return = time.Hour.Nanoseconds()
 			record(op)
@@ -154,7 +154,8 @@
 	}
 }
 
-// run makes one operation; failed means that it had no effect.
+// run executes one operation. It returns known if the outcome is known, and failed if the
+// operation had no effect.
 func (m *member) run(ctx context.Context, op *porcupine.Operation) (known, failed bool) {
 	in := op.Input.(input)
 	if !in.write {
@@ -174,14 +175,14 @@
 	return err == nil, false
 }
 
-// Reads and writes at real nodes are linearizable while members are cut off,
-// stopped and started again, and messages are lost and reordered.
+// Checks that reads and writes are linearizable while members are partitioned and
+// restarted, and messages are lost and reordered.
 func TestHistoryIsLinearizable(t *testing.T) {
 	const (
-		lasts   = 4 * time.Second
-		clients = 6
+		duration = 4 * time.Second
+		clients  = 6
 	)
-	g := &group{t: t, live: make(map[string]*member), cut: make(map[string]bool)}
+	g := &group{t: t, running: make(map[string]*member), partitioned: make(map[string]bool)}
 	ids := []string{"k0", "k1", "k2"}
 	founders := &wire.Members{}
 	dirs := make(map[string]string)
@@ -194,13 +195,13 @@
 	}
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	ctx, cancel := context.WithTimeout(context.Background(), lasts)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	var all sync.WaitGroup
 	for i := range clients {
 		all.Go(func() {
-			g.client(ctx, i, ids, began, func(op porcupine.Operation) {
+			g.client(ctx, i, ids, start, func(op porcupine.Operation) {
 				mu.Lock()
 				defer mu.Unlock()
 				history = append(history, op)
@@ -208,7 +209,7 @@
 		})
 	}
 	for ctx.Err() == nil {
-		g.disturb(ids, dirs, founders)
+		g.injectFault(ids, dirs, founders)
 	}
 	all.Wait()
 	for _, id := range ids {
@@ -221,31 +222,31 @@
 		}
 	}
 	if reads < 20 || len(history)-reads < 20 {
-		t.Fatalf("only %d reads and %d writes went through", reads, len(history)-reads)
+		t.Fatalf("only %d reads and %d writes succeeded", reads, len(history)-reads)
 	}
 	if result := porcupine.CheckOperationsTimeout(registerModel, history, 20*time.Second); result != porcupine.Ok {
-		t.Fatalf("the history of %d operations is %s", len(history), result)
+		t.Fatalf("linearizability check of %d operations: %s", len(history), result)
 	}
 	t.Logf("%d operations, %d of them reads", len(history), reads)
 }
 
-// disturb cuts a member off, or stops and starts one, for a while.
-func (g *group) disturb(ids []string, dirs map[string]string, founders *wire.Members) {
+// injectFault partitions or stops a random member for a while.
+func (g *group) injectFault(ids []string, dirs map[string]string, founders *wire.Members) {
 	id := ids[rand.IntN(len(ids))]
 	if rand.IntN(2) == 0 {
 		g.stop(id)
 		time.Sleep(50 * time.Millisecond)
 		g.start(id, dirs[id], founders)
 	} else {
-		g.setCut(id, true)
+		g.setPartitioned(id, true)
 		time.Sleep(200 * time.Millisecond)
-		g.setCut(id, false)
+		g.setPartitioned(id, false)
 	}
 	time.Sleep(250 * time.Millisecond)
 }
 
-func (g *group) setCut(id string, on bool) {
+func (g *group) setPartitioned(id string, on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cut[id] = on
+	g.partitioned[id] = on
 }
--- a/internal/raft/poll.go
+++ b/internal/raft/poll.go
@@ -6,74 +6,74 @@
 	"sumachead/api/wire"
 )
 
-// A member that has just started must not vote, nor campaign, for an election
-// timeout: it may have promised a leader that it has forgotten not to. Where all
-// members were killed together that wait is all that keeps the group from having
-// a leader. A poll makes it needless: if every other voter answers, in one round
-// and in this member's term, that it neither leads nor follows anybody, then no
-// leader has a lease, and none can get one without a vote in a later term. The one
-// among them whose log is the most advanced campaigns at once.
+// A member that has just started must neither vote nor campaign for an election
+// timeout, because before the restart it may have acknowledged a leader's lease. If
+// all members restarted together, that wait alone delays the election. A poll avoids
+// it: if every other voter replies, in the same round and in this member's term, that
+// it is not a leader and has none, then no leader holds a lease, and none can acquire
+// one without an election in a later term. The voter with the most complete log then
+// campaigns immediately.
 //
-// A voter whose place is taken by a life with an empty disk does not lead either; it
-// just has no vote to give. Where so many are gone that those left are no majority, nobody
-// campaigns: each election would raise the term, which ends the polls of members that know
-// of a majority by a later change. One that does not answer may lead: then the election
-// timeout decides.
+// A voter that was replaced by an incarnation with an empty disk cannot be the leader
+// either, but it has no vote. If the remaining voters are no majority, nobody campaigns:
+// each election would raise the term, which invalidates the polls of members that know of
+// a majority by a later membership change. A voter that does not reply may be the leader;
+// the members then wait for the election timeout.
 
-// pollPart is the part of the election timeout that separates polls: some of them
-// fit into the wait that they save. Polling goes on while there is no leader, so
-// that the voter that comes back last ends the wait.
-const pollPart = 20
+// pollsPerElectionTimeout sets the interval between polls as a fraction of the election
+// timeout, so that several polls fit into the wait that they avoid. Polling continues
+// while there is no leader, so that the last voter to restart ends the wait.
+const pollsPerElectionTimeout = 20
 
-// poll is what a member without a leader knows of the other voters.
+// poll is what a member without a known leader has learned about the other voters.
 type poll struct {
-	// at is when the next round is due.
-	at time.Duration
-	// round numbers the rounds, so that a late reply counts for none.
+	// nextAt is when the next round starts.
+	nextAt time.Duration
+	// round is the number of the current round; replies to earlier rounds are ignored.
 	round uint64
-	// idle are the voters that neither lead nor follow, as of this round, and whether
-	// they still have a vote; nil while no round is under way.
-	idle map[string]bool
-	// beaten: in this round another voter is to campaign.
-	beaten bool
+	// leaderless contains the voters that in this round reported no leader, and whether
+	// they still have a vote. It is nil if no round is in progress.
+	leaderless map[string]bool
+	// outranked is set if another voter has priority to campaign in this round.
+	outranked bool
 }
 
-// startPolling makes the next round due at once: the voter that comes back last ends
-// the wait of all others.
+// startPolling schedules the next round immediately, so that the last voter to restart
+// ends the wait of all others.
 func (c *Core) startPolling() {
-	c.poll.at, c.poll.idle = c.now, nil
+	c.poll.nextAt, c.poll.leaderless = c.now, nil
 }
 
-// unfollow makes this member one that follows nobody, and polls.
-func (c *Core) unfollow() {
+// forgetLeader makes this member a follower without a leader and starts polling.
+func (c *Core) forgetLeader() {
 	c.leader = ""
 	c.startPolling()
 }
 
-// pollPause draws a time that keeps members which started together from polling
-// each other at the same moments.
-func (c *Core) pollPause() time.Duration {
-	return time.Duration(c.cfg.Rand(int64(c.cfg.Election / pollPart)))
+// pollJitter returns a random delay that keeps members that started together from
+// polling each other simultaneously.
+func (c *Core) pollJitter() time.Duration {
+	return time.Duration(c.cfg.Rand(int64(c.cfg.ElectionTimeout / pollsPerElectionTimeout)))
 }
 
-// tickPoll begins a round when one is due.
+// tickPoll starts a poll round when one is due.
 func (c *Core) tickPoll() {
-	if c.role == Leader || c.leader != "" || c.now < c.poll.at || !c.isVoter(c.cfg.ID) {
+	if c.role == Leader || c.leader != "" || c.now < c.poll.nextAt || !c.isVoter(c.cfg.ID) {
 		return
 	}
-	c.poll.at = c.now + c.cfg.Election/pollPart + c.pollPause()
+	c.poll.nextAt = c.now + c.cfg.ElectionTimeout/pollsPerElectionTimeout + c.pollJitter()
 	c.poll.round++
-	c.poll.idle, c.poll.beaten = make(map[string]bool), false
+	c.poll.leaderless, c.poll.outranked = make(map[string]bool), false
 	for _, m := range c.voters() {
 		if m.GetId() != c.cfg.ID {
-			c.sendLate(m, &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_POLL, Term: c.term, Round: c.poll.round})
+			c.sendAfterSync(m, &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_POLL, Term: c.term, Round: c.poll.round})
 		}
 	}
 }
 
-// stepPoll deals with polls and their replies; false means that the message is
-// another one. They go past the rules for incarnations and terms that Step has for
-// the others: a poll asks whoever runs at the address, whatever its term is.
+// stepPoll handles polls and their replies; it returns false for other messages.
+// The checks of incarnations and terms in Step do not apply to them: a poll is meant for
+// any incarnation that runs at the address, in any term.
 func (c *Core) stepPoll(m *wire.RaftMessage) bool {
 	switch m.GetKind() {
 	case wire.RaftKind_RAFT_KIND_POLL:
@@ -90,49 +90,50 @@
 	return true
 }
 
-// onPoll answers a poll. The reply has this member's term, and the end of its log,
-// by which the one that polls sees who is to campaign. The first poll of a life tells
-// that its voter is back: it may be the one that this member's own polls lacked. A poll
-// of the one that this member follows tells that it leads no longer: what it sent before
-// it was cut off may arrive after the cut, and would hold up the next election.
+// onPoll replies to a poll with this member's term and the end of its log, from which the
+// sender determines who campaigns. A first round shows that the sender has
+// just started; it may be the one whose reply this member's own polls lacked, so this
+// member polls again at once. A poll from the leader that this member follows shows that it
+// no longer leads: heartbeats that it sent before a network partition may arrive after the
+// partition has healed, and would delay the next election.
 func (c *Core) onPoll(m *wire.RaftMessage) {
 	if m.GetRound() == 1 {
-		c.poll.at = min(c.poll.at, c.now)
+		c.poll.nextAt = min(c.poll.nextAt, c.now)
 	}
 	if c.role != Leader && c.leader == m.GetFrom() && m.GetTerm() >= c.term {
-		c.unfollow()
+		c.forgetLeader()
 	}
-	c.sendLate(sender(m), &wire.RaftMessage{
+	c.sendAfterSync(sender(m), &wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_POLL_REPLY, Term: c.term, Round: m.GetRound(),
 		Reject: c.role == Leader || c.leader != "", LogIndex: c.lastIndex(), LogTerm: c.lastTerm(),
 	})
 }
 
-// onPollReply takes in what another voter has answered in the round under way. A
-// later term is taken over, and ends the round.
+// onPollReply handles a reply in the current round. A reply with a later term updates
+// this member's term and ends the round.
 func (c *Core) onPollReply(m *wire.RaftMessage) {
-	if c.poll.idle == nil || m.GetRound() != c.poll.round {
+	if c.poll.leaderless == nil || m.GetRound() != c.poll.round {
 		return
 	}
-	gone := c.member(m.GetFrom()).GetIncarnation() != m.GetFromIncarnation()
+	replaced := c.member(m.GetFrom()).GetIncarnation() != m.GetFromIncarnation()
 	switch {
 	case m.GetReject():
-		c.poll.idle = nil // no result in this round
+		c.poll.leaderless = nil // there may be a leader: the round has no result
 		return
-	case gone:
-		// Its old self's vote is gone with it, for good.
+	case replaced:
+		// The previous incarnation lost its vote permanently.
 	case m.GetTerm() > c.term:
 		c.becomeFollower(m.GetTerm(), "")
 		return
-	case !c.goesBefore(m):
-		c.poll.beaten = true
+	case !c.outranks(m):
+		c.poll.outranked = true
 	}
-	c.noteIdle(m.GetFrom(), !gone)
+	c.recordLeaderless(m.GetFrom(), !replaced)
 }
 
-// goesBefore reports whether this member rather than the one that has replied is
-// to campaign: by the log, then by id.
-func (c *Core) goesBefore(m *wire.RaftMessage) bool {
+// outranks reports whether this member has priority to campaign over the sender of the
+// reply: the more complete log wins, then the lower id.
+func (c *Core) outranks(m *wire.RaftMessage) bool {
 	if m.GetLogTerm() != c.lastTerm() {
 		return m.GetLogTerm() < c.lastTerm()
 	}
@@ -142,40 +143,41 @@
 	return c.cfg.ID < m.GetFrom()
 }
 
-// noteIdle takes in that a voter neither leads nor follows, and whether it has a vote; this
-// member campaigns if that holds for all of them, and enough have one.
-func (c *Core) noteIdle(id string, votes bool) {
-	if c.poll.idle == nil {
+// recordLeaderless records that a voter has no leader, and whether it has a vote. This member
+// campaigns once all voters have no leader and a quorum has a vote, unless it is outranked.
+func (c *Core) recordLeaderless(id string, hasVote bool) {
+	if c.poll.leaderless == nil {
 		return
 	}
-	c.poll.idle[id] = votes
-	have := 1
+	c.poll.leaderless[id] = hasVote
+	available := 1
 	for _, m := range c.voters() {
 		if m.GetId() == c.cfg.ID {
 			continue
 		}
-		hasVote, idle := c.poll.idle[m.GetId()]
-		if !idle {
+		v, ok := c.poll.leaderless[m.GetId()]
+		if !ok {
 			return
 		}
-		if hasVote {
-			have++
+		if v {
+			available++
 		}
 	}
-	if !c.poll.beaten && have >= c.quorum() {
-		c.poll.idle = nil
+	if !c.poll.outranked && available >= c.quorum() {
+		c.poll.leaderless = nil
 		c.leader = ""
 		c.startElection(true)
 	}
 }
 
-// PeerRefused takes in that a member's address refuses connections. That is a hint,
-// since something between the two may refuse them while the member runs: one that
-// followed it polls, and what counts is what the member's next life answers.
-func (c *Core) PeerRefused(now time.Duration, id string) {
+// ReportConnectionRefused reports that a member's address refuses connections. This is
+// only a hint, since a firewall may refuse them while the member runs. A follower of
+// that member starts polling; only replies to the poll, including one from the restarted
+// member, lead to an election.
+func (c *Core) ReportConnectionRefused(now time.Duration, id string) {
 	c.now = now
 	if c.role == Leader || c.leader != id {
 		return
 	}
-	c.unfollow()
+	c.forgetLeader()
 }
--- a/internal/raft/poll_test.go
+++ b/internal/raft/poll_test.go
@@ -11,23 +11,23 @@
 	"sumachead/api/wire"
 )
 
-// quietNet is a group whose messages arrive at once, but for members that are
-// silent.
-type quietNet struct {
+// testNet is a group over a network without latency. Messages from and to silent
+// members are lost.
+type testNet struct {
 	cores map[string]*Core
-	// silent members get no messages, and none of theirs arrive.
+	// silent contains the members that neither send nor receive messages.
 	silent map[string]bool
 	now    time.Duration
 }
 
-// newQuietNet returns restarted members k0 to kN. Each has the entries that lengths
-// says, all of one term; the group was founded by all of them.
-func newQuietNet(lengths ...int) *quietNet {
+// newTestNet returns a group of restarted members k0 to kN, all of them founders. The log
+// of member i has lengths[i] entries, all of one term.
+func newTestNet(lengths ...int) *testNet {
 	members := &wire.Members{}
 	for i := range lengths {
 		members.Members = append(members.Members, &wire.Member{Id: fmt.Sprintf("k%d", i), Incarnation: "0"})
 	}
-	n := &quietNet{cores: make(map[string]*Core), silent: make(map[string]bool)}
+	n := &testNet{cores: make(map[string]*Core), silent: make(map[string]bool)}
 	for i, length := range lengths {
 		var entries []*wire.LogEntry
 		for j := range length {
@@ -39,17 +39,17 @@
 	return n
 }
 
-// core returns a member as it starts from what is on its disk.
-func (n *quietNet) core(id, incarnation string, state *wire.HardState, members *wire.Members, entries []*wire.LogEntry) *Core {
+// core returns a member that starts with the given persistent state.
+func (n *testNet) core(id, incarnation string, state *wire.HardState, members *wire.Members, entries []*wire.LogEntry) *Core {
 	cfg := Config{
-		Group: "g", ID: id, Incarnation: incarnation, Heartbeat: testHeartbeat, Election: testElection, Rand: rand.Int64N,
+		Group: "g", ID: id, Incarnation: incarnation, HeartbeatInterval: testHeartbeatInterval, ElectionTimeout: testElectionTimeout, Rand: rand.Int64N,
 		Snapshot: func() *wire.Snapshot { return &wire.Snapshot{Members: members} },
 	}
 	return NewCore(cfg, state, &wire.Snapshot{Members: members}, entries, n.now)
 }
 
-// run lets time pass and returns the leader, if there is one before the end.
-func (n *quietNet) run(until time.Duration) (leader string) {
+// run advances the clock and returns the first leader, or "" if there is none before until.
+func (n *testNet) run(until time.Duration) (leader string) {
 	for ; n.now < until; n.now += time.Millisecond {
 		for id, c := range n.cores {
 			if !n.silent[id] {
@@ -66,26 +66,26 @@
 	return ""
 }
 
-// settle hands over messages until no member wants any sent.
-func (n *quietNet) settle() {
+// settle delivers messages until no member sends any.
+func (n *testNet) settle() {
 	for n.deliver() {
 	}
 }
 
-// refused tells members that the process of another has ended.
-func (n *quietNet) refused(id string, members ...string) {
+// reportRefused reports to members that another one refuses connections.
+func (n *testNet) reportRefused(id string, members ...string) {
 	for _, m := range members {
-		n.cores[m].PeerRefused(n.now, id)
+		n.cores[m].ReportConnectionRefused(n.now, id)
 	}
 }
 
-// deliver hands over what the members want sent; false when that was nothing.
-func (n *quietNet) deliver() bool {
+// deliver delivers the pending messages of all members; it returns false if there were none.
+func (n *testNet) deliver() bool {
 	found := false
 	for id, c := range n.cores {
 		r := c.Ready()
 		c.Persisted(c.lastIndex())
-		for _, m := range append(r.Early, r.Late...) {
+		for _, m := range append(r.ReplicationMessages, r.MessagesAfterSync...) {
 			found = true
 			if to := n.cores[m.GetTo()]; to != nil && !n.silent[id] && !n.silent[m.GetTo()] {
 				to.Step(n.now, m)
@@ -98,37 +98,37 @@
 func TestAllRestartedElectAtOnce(t *testing.T) {
 	tests := []struct {
 		name string
-		// lengths are of the members' logs.
+		// lengths are the lengths of the members' logs.
 		lengths []int
-		// change is made to the group before it runs.
-		change func(*quietNet)
-		// soon: there is a leader before the election timeout.
+		// change, if not nil, modifies the group before it runs.
+		change func(*testNet)
+		// soon is set if a leader is expected before the election timeout.
 		soon   bool
 		leader string
 	}{
-		{"same logs, the lowest id", []int{2, 2, 2}, nil, true, "k0"},
-		{"the longest log", []int{2, 2, 3, 3, 2}, nil, true, "k2"},
-		{"one silent may lead", []int{2, 2, 2, 2, 2}, func(n *quietNet) { n.silent["k4"] = true }, false, ""},
-		{"one with an empty disk", []int{2, 2, 2}, func(n *quietNet) {
+		{"equal logs: the lowest id", []int{2, 2, 2}, nil, true, "k0"},
+		{"different logs: the longest one", []int{2, 2, 3, 3, 2}, nil, true, "k2"},
+		{"a silent member may be the leader", []int{2, 2, 2, 2, 2}, func(n *testNet) { n.silent["k4"] = true }, false, ""},
+		{"a member with an empty disk", []int{2, 2, 2}, func(n *testNet) {
 			n.cores["k0"] = n.core("k0", "1", &wire.HardState{}, nil, nil)
 		}, true, "k1"},
-		{"an empty disk has no vote", []int{2, 2, 2}, func(n *quietNet) {
+		{"no majority without the empty disks", []int{2, 2, 2}, func(n *testNet) {
 			n.cores["k0"] = n.core("k0", "1", &wire.HardState{}, nil, nil)
 			n.cores["k1"] = n.core("k1", "1", &wire.HardState{}, nil, nil)
 		}, false, ""},
-		{"one that refuses connections may lead", []int{2, 2, 2}, func(n *quietNet) {
+		{"a member that refuses connections may be the leader", []int{2, 2, 2}, func(n *testNet) {
 			n.silent["k0"] = true
-			n.run(testElection / 4) // a round has begun
-			n.refused("k0", "k1", "k2")
+			n.run(testElectionTimeout / 4) // a poll round has started
+			n.reportRefused("k0", "k1", "k2")
 		}, false, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			n := newQuietNet(tt.lengths...)
+			n := newTestNet(tt.lengths...)
 			if tt.change != nil {
 				tt.change(n)
 			}
-			leader := n.run(testElection * 9 / 10)
+			leader := n.run(testElectionTimeout * 9 / 10)
 			if diff := cmp.Diff(tt.soon, leader != ""); diff != "" {
 				t.Fatalf("a leader before the timeout (-want +got):\n%s", diff)
 			}
@@ -139,16 +139,16 @@
 	}
 }
 
-// A member that restarts beside a live leader changes nothing.
+// Checks that a member that restarts while there is a leader does not disturb it.
 func TestPollLeavesALiveLeaderAlone(t *testing.T) {
-	n := newQuietNet(2, 2, 2)
-	if leader := n.run(testElection); leader != "k0" {
+	n := newTestNet(2, 2, 2)
+	if leader := n.run(testElectionTimeout); leader != "k0" {
 		t.Fatalf("leader %q", leader)
 	}
 	term := n.cores["k0"].term
 	old := n.cores["k1"]
 	n.cores["k1"] = n.core("k1", "0", old.HardState(), old.members, old.entries)
-	end := n.now + 3*testElection
+	end := n.now + 3*testElectionTimeout
 	for n.now < end {
 		n.now += time.Millisecond
 		for _, c := range n.cores {
@@ -161,123 +161,124 @@
 	}
 }
 
-// ledBy returns a group with a leader that all have just heard of.
-func ledBy(t *testing.T, leader string, lengths ...int) *quietNet {
+// newNetWithLeader returns a group in which all members have just received a heartbeat from
+// leader.
+func newNetWithLeader(t *testing.T, leader string, lengths ...int) *testNet {
 	t.Helper()
-	n := newQuietNet(lengths...)
-	if got := n.run(testElection); got != leader {
+	n := newTestNet(lengths...)
+	if got := n.run(testElectionTimeout); got != leader {
 		t.Fatalf("leader %q", got)
 	}
-	n.now += testHeartbeat
+	n.now += testHeartbeatInterval
 	n.cores[leader].Tick(n.now)
 	n.settle()
 	return n
 }
 
-// A leader whose process has ended and begun anew is replaced at once by members whose
-// connections it refused: none waits for its silence.
+// Checks that after a restart of the leader the members whose connections it refused
+// elect a leader without waiting for the election timeout.
 func TestRestartedLeaderIsReplacedAtOnce(t *testing.T) {
-	n := ledBy(t, "k0", 2, 2, 2, 2, 2)
+	n := newNetWithLeader(t, "k0", 2, 2, 2, 2, 2)
 	old := n.cores["k0"]
 	n.silent["k0"] = true
-	begun := n.now
-	n.refused("k0", "k1", "k2", "k3", "k4")
-	n.run(n.now + testElection/8)
+	began := n.now
+	n.reportRefused("k0", "k1", "k2", "k3", "k4")
+	n.run(n.now + testElectionTimeout/8)
 	n.cores["k0"] = n.core("k0", "0", old.HardState(), old.members, old.entries)
 	n.silent["k0"] = false
-	leader := n.run(begun + testElection)
-	if leader == "" || n.now-begun >= testElection {
-		t.Fatalf("leader %q after %v", leader, n.now-begun)
+	leader := n.run(began + testElectionTimeout)
+	if leader == "" || n.now-began >= testElectionTimeout {
+		t.Fatalf("leader %q after %v", leader, n.now-began)
 	}
 }
 
-// A leader that runs on behind something that refuses connections keeps its lease: no
-// other is elected while it answers reads.
+// Checks that a leader that keeps running behind a firewall that refuses connections
+// keeps its lease: no other leader is elected while it serves reads.
 func TestRefusingLeaderKeepsItsLease(t *testing.T) {
-	n := ledBy(t, "k0", 2, 2, 2)
+	n := newNetWithLeader(t, "k0", 2, 2, 2)
 	k0 := n.cores["k0"]
 	if !k0.LeaseValid(n.now) {
 		t.Fatal("the leader has no lease")
 	}
 	n.silent["k0"] = true
 	for k0.LeaseValid(n.now) {
-		n.refused("k0", "k1", "k2")
+		n.reportRefused("k0", "k1", "k2")
 		if other := n.run(n.now + time.Millisecond); other != "" {
 			t.Fatalf("%s leads while the lease of k0 is valid", other)
 		}
 	}
 }
 
-// What a round has shown does not outlive the term that it was shown in: a leader
-// may have been elected since.
+// Checks that the results of a poll round are discarded when the term changes, since a
+// leader may have been elected in the new term.
 func TestPollEndsWithItsTerm(t *testing.T) {
-	n := newQuietNet(2, 2, 2)
+	n := newTestNet(2, 2, 2)
 	k0 := n.cores["k0"]
-	for n.now = 0; k0.poll.idle == nil; n.now += time.Millisecond {
+	for n.now = 0; k0.poll.leaderless == nil; n.now += time.Millisecond {
 		k0.Tick(n.now)
 	}
-	answer := func(from string) {
+	reply := func(from string) {
 		k0.Step(n.now, &wire.RaftMessage{
 			Group: "g", Kind: wire.RaftKind_RAFT_KIND_POLL_REPLY, From: from, FromIncarnation: "0", To: "k0", ToIncarnation: "0",
 			Term: 3, Round: k0.poll.round, LogIndex: 2, LogTerm: 3,
 		})
 	}
-	answer("k1")
+	reply("k1")
 	k0.Step(n.now, &wire.RaftMessage{
 		Group: "g", Kind: wire.RaftKind_RAFT_KIND_VOTE, From: "k1", FromIncarnation: "0", To: "k0", ToIncarnation: "0",
 		Term: 4, LogIndex: 2, LogTerm: 3, Transfer: true,
 	})
-	answer("k2")
+	reply("k2")
 	if k0.role != Follower || k0.term != 4 {
 		t.Fatalf("role %v in term %d, want a follower in term 4", k0.role, k0.term)
 	}
 }
 
-// The voter that comes back last ends the wait of the others at once: with its own first
-// poll, and with the polls that this one calls for.
+// Checks that the last voter to restart ends the wait of the others immediately, by its
+// first poll and by the polls with which the others react to it.
 func TestLastToRestartEndsTheWait(t *testing.T) {
 	for last := range 3 {
 		t.Run(fmt.Sprint("k", last), func(t *testing.T) {
-			n := newQuietNet(2, 2, 2)
+			n := newTestNet(2, 2, 2)
 			id := fmt.Sprint("k", last)
 			n.silent[id] = true
-			back := testElection / 3
-			if leader := n.run(back); leader != "" {
-				t.Fatalf("%s leads while %s may", leader, id)
+			restart := testElectionTimeout / 3
+			if leader := n.run(restart); leader != "" {
+				t.Fatalf("%s leads although %s may be the leader", leader, id)
 			}
 			c := n.cores[id]
 			n.cores[id] = n.core(id, "0", &wire.HardState{Term: 3, Vote: "k0"}, c.members, c.entries)
 			delete(n.silent, id)
-			within := 2 * time.Millisecond // two ticks; polls are five apart on average
-			if leader := n.run(back + within); leader == "" {
-				t.Fatalf("nobody leads %v after the last member is back", within)
+			within := 2 * time.Millisecond // two ticks; polls are at least five ticks apart
+			if leader := n.run(restart + within); leader == "" {
+				t.Fatalf("no leader %v after the last member restarted", within)
 			}
 		})
 	}
 }
 
-// What a leader sent before it was cut off may arrive after the cut: by then it leads no longer,
-// and those that follow it by such a message wait for nobody.
+// Checks that heartbeats that a leader sent before it was partitioned do not delay the
+// next election when they arrive after it has stepped down.
 func TestLateHeartbeatsHoldNoElectionUp(t *testing.T) {
-	n := ledBy(t, "k0", 2, 2, 2)
+	n := newNetWithLeader(t, "k0", 2, 2, 2)
 	k0 := n.cores["k0"]
-	n.now += testHeartbeat
+	n.now += testHeartbeatInterval
 	k0.Tick(n.now)
-	late := k0.Ready().Early
-	for until := n.now + 4*testElection; n.now < until; n.now += time.Millisecond {
+	delayed := k0.Ready().ReplicationMessages
+	for until := n.now + 4*testElectionTimeout; n.now < until; n.now += time.Millisecond {
 		for _, c := range n.cores {
 			c.Tick(n.now)
-			c.Ready() // nothing arrives
+			c.Ready() // all messages are lost
 		}
 	}
 	if k0.role == Leader {
-		t.Fatal("a leader that reaches nobody leads")
+		t.Fatal("a leader that reaches no other member did not step down")
 	}
-	for _, m := range late {
+	for _, m := range delayed {
 		n.cores[m.GetTo()].Step(n.now, m)
 	}
-	begun, within := n.now, testElection/2
-	if leader := n.run(begun + within); leader == "" {
-		t.Fatalf("nobody leads %v after the cut", within)
+	began, within := n.now, testElectionTimeout/2
+	if leader := n.run(began + within); leader == "" {
+		t.Fatalf("no leader %v after the partition", within)
 	}
 }
--- a/internal/raft/replicate.go
+++ b/internal/raft/replicate.go
@@ -7,24 +7,24 @@
 	"sumachead/api/wire"
 )
 
-// beat starts a heartbeat round.
-func (c *Core) beat() {
-	c.heartbeatAt = c.now + c.cfg.Heartbeat
+// sendHeartbeats starts a heartbeat round.
+func (c *Core) sendHeartbeats() {
+	c.nextHeartbeatAt = c.now + c.cfg.HeartbeatInterval
 	c.round++
 	c.rounds = append(c.rounds, roundStart{c.round, c.now})
-	c.eachPeer(func(id string) { c.sendAppend(id, true) })
+	c.forEachPeer(func(id string) { c.sendAppend(id, true) })
 }
 
-// reached returns the highest value that a quorum of the voters has reached:
-// own is this member's, of that of a peer. Without voters it is 0.
-func (c *Core) reached(own uint64, of func(*progress) uint64) uint64 {
+// highestQuorumValue returns the highest value that a quorum of the voters has reached:
+// own is this member's value, and peerValue returns that of a peer. Without voters it returns 0.
+func (c *Core) highestQuorumValue(own uint64, peerValue func(*progress) uint64) uint64 {
 	values := make([]uint64, 0, len(c.peers)+1)
 	for _, m := range c.voters() {
 		if m.GetId() == c.cfg.ID {
 			values = append(values, own)
 			continue
 		}
-		values = append(values, of(c.peers[m.GetId()]))
+		values = append(values, peerValue(c.peers[m.GetId()]))
 	}
 	if len(values) == 0 {
 		return 0
@@ -33,9 +33,9 @@
 	return values[len(values)-c.quorum()]
 }
 
-// quorumAckedAt returns when the newest round that a quorum answered began.
+// quorumAckedAt returns the start time of the latest round that a quorum acknowledged.
 func (c *Core) quorumAckedAt() time.Duration {
-	round := c.reached(c.round, func(p *progress) uint64 { return p.round })
+	round := c.highestQuorumValue(c.round, func(p *progress) uint64 { return p.round })
 	for len(c.rounds) > 0 && c.rounds[0].round <= round {
 		c.quorumAt = c.rounds[0].at
 		c.rounds = c.rounds[1:]
@@ -46,8 +46,8 @@
 	return c.quorumAt
 }
 
-// LeaseValid reports whether this member is leader, has committed in its term,
-// and no other leader can have been elected by now.
+// LeaseValid reports whether this member is the leader, has committed an entry in its
+// term, and no other leader can have been elected by now.
 func (c *Core) LeaseValid(now time.Duration) bool {
 	if c.role != Leader || c.transferTo != "" {
 		return false
@@ -55,11 +55,11 @@
 	if t, _ := c.termAt(c.commit); t != c.term {
 		return false
 	}
-	lease := c.cfg.Election * leaseFraction / 100
+	lease := c.cfg.ElectionTimeout * leasePercent / 100
 	return now < c.quorumAckedAt()+lease
 }
 
-// trackPeers keeps one progress for each member but this one.
+// trackPeers creates a progress for each new peer and deletes those of removed ones.
 func (c *Core) trackPeers() {
 	for _, m := range c.members.GetMembers() {
 		if m.GetId() != c.cfg.ID && c.peers[m.GetId()] == nil {
@@ -82,8 +82,8 @@
 	return e.GetIndex()
 }
 
-// Propose appends commands at a leader and returns the index of the first; ok
-// is false when this member does not lead.
+// Propose appends commands to the log and returns the index of the first; ok is false
+// if this member is not the leader or is transferring its leadership.
 func (c *Core) Propose(commands [][]byte) (first uint64, ok bool) {
 	if c.role != Leader || c.transferTo != "" {
 		return 0, false
@@ -96,8 +96,8 @@
 	return first, true
 }
 
-// eachPeer calls f for each member but this one, always in the same order.
-func (c *Core) eachPeer(f func(id string)) {
+// forEachPeer calls f for each member except this one, always in the same order.
+func (c *Core) forEachPeer(f func(id string)) {
 	for _, m := range c.members.GetMembers() {
 		if c.peers[m.GetId()] != nil {
 			f(m.GetId())
@@ -106,22 +106,23 @@
 }
 
 func (c *Core) broadcast() {
-	c.eachPeer(func(id string) { c.sendAppend(id, false) })
+	c.forEachPeer(func(id string) { c.sendAppend(id, false) })
 	c.advanceCommit()
 }
 
-func (c *Core) fill(to *wire.Member, m *wire.RaftMessage) *wire.RaftMessage {
+func (c *Core) setHeader(to *wire.Member, m *wire.RaftMessage) *wire.RaftMessage {
 	m.Group = c.cfg.Group
 	m.From, m.FromIncarnation = c.cfg.ID, c.cfg.Incarnation
 	m.To, m.ToIncarnation = to.GetId(), to.GetIncarnation()
 	return m
 }
 
-func (c *Core) sendLate(to *wire.Member, m *wire.RaftMessage) {
-	c.late = append(c.late, c.fill(to, m))
+func (c *Core) sendAfterSync(to *wire.Member, m *wire.RaftMessage) {
+	c.messagesAfterSync = append(c.messagesAfterSync, c.setHeader(to, m))
 }
 
-// sendAppend sends what a peer lacks; an empty message only when force is set.
+// sendAppend sends the entries that a peer lacks. If there are none, it sends an empty
+// message only if force is set.
 func (c *Core) sendAppend(id string, force bool) {
 	p := c.peers[id]
 	if p.next <= c.snapIndex {
@@ -130,16 +131,16 @@
 	}
 	last := c.lastIndex()
 	if p.probing {
-		last = p.next - 1 // confirm next with an empty message first
+		last = p.next - 1 // send an empty message first to confirm next
 	}
-	last = min(last, p.match+maxInflight)
-	entries := limitBytes(c.slice(p.next, last))
+	last = min(last, p.match+maxInflightEntries)
+	entries := limitAppendBytes(c.slice(p.next, last))
 	if len(entries) == 0 && !force {
 		return
 	}
 	prev := p.next - 1
 	prevTerm, _ := c.termAt(prev)
-	c.early = append(c.early, c.fill(c.member(id), &wire.RaftMessage{
+	c.replicationMessages = append(c.replicationMessages, c.setHeader(c.member(id), &wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_APPEND, Term: c.term,
 		LogIndex: prev, LogTerm: prevTerm, Entries: entries,
 		Commit: c.commit, Round: c.round,
@@ -147,7 +148,7 @@
 	p.next += uint64(len(entries))
 }
 
-func limitBytes(entries []*wire.LogEntry) []*wire.LogEntry {
+func limitAppendBytes(entries []*wire.LogEntry) []*wire.LogEntry {
 	size := 0
 	for i, e := range entries {
 		size += len(e.GetData())
@@ -159,7 +160,7 @@
 }
 
 func (c *Core) sendSnapshot(id string, p *progress) {
-	if p.snapshotAt != 0 && c.now < p.snapshotAt+c.cfg.Election {
+	if p.snapshotAt != 0 && c.now < p.snapshotAt+c.cfg.ElectionTimeout {
 		return
 	}
 	s := c.cfg.Snapshot()
@@ -167,14 +168,15 @@
 		return
 	}
 	p.snapshotAt = c.now
-	c.early = append(c.early, c.fill(c.member(id), &wire.RaftMessage{
+	c.replicationMessages = append(c.replicationMessages, c.setHeader(c.member(id), &wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_SNAPSHOT, Term: c.term, Snapshot: s, Round: c.round,
 	}))
 }
 
-// advanceCommit commits what a quorum has persisted, if it is of this term.
+// advanceCommit commits the entries that a quorum has persisted, provided that the last one
+// is of the current term.
 func (c *Core) advanceCommit() {
-	n := c.reached(c.persisted, func(p *progress) uint64 { return p.match })
+	n := c.highestQuorumValue(c.persisted, func(p *progress) uint64 { return p.match })
 	if t, ok := c.termAt(n); !ok || t != c.term || n <= c.commit {
 		return
 	}
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -4,16 +4,16 @@
 	"sumachead/api/wire"
 )
 
-// tidy does what can wait for a quiet moment.
-func (n *Node) tidy() error {
+// maintain does periodic work that is not urgent.
+func (n *Node) maintain() error {
 	if err := n.saveCommit(); err != nil {
 		return err
 	}
 	return n.compact()
 }
 
-// saveCommit writes down what is committed once the log is quiet, so that a
-// member that restarts while cut off knows what it knew.
+// saveCommit persists the commit index once the log is idle, so that a member that
+// restarts while partitioned can apply the entries that it knew to be committed.
 func (n *Node) saveCommit() error {
 	if n.core.commit == n.storage.state.GetCommit() || n.core.commit != n.core.lastIndex() || n.core.persisted != n.core.lastIndex() {
 		return nil
@@ -21,20 +21,20 @@
 	return n.storage.Save(n.core.HardState(), nil)
 }
 
-// compact takes a snapshot when the log has grown enough.
+// compact starts a snapshot once the log has grown by SnapshotThreshold entries.
 func (n *Node) compact() error {
 	if n.appliedIndex-n.snapIndex < n.SnapshotEvery {
 		return nil
 	}
-	if n.preparing != nil {
-		return n.usePrepared()
+	if n.pendingSnapshot != nil {
+		return n.activatePendingSnapshot()
 	}
 	index := n.appliedIndex
 	term, _ := n.core.termAt(index)
 	snap := &wire.Snapshot{Index: index, Term: term, Members: n.core.MembersAt(index)}
 	encode := n.Machine.Snapshot()
 	done := make(chan error, 1)
-	n.preparing = &preparation{snap, done}
+	n.pendingSnapshot = &snapshotWrite{snap, done}
 	go func() {
 		var err error
 		if snap.Data, err = encode(); err == nil {
@@ -45,18 +45,18 @@
 	return nil
 }
 
-// preparation is a snapshot that is being encoded and written beside the log.
-type preparation struct {
+// snapshotWrite is a snapshot that is being encoded and written in the background.
+type snapshotWrite struct {
 	snap *wire.Snapshot
 	done chan error
 }
 
-// usePrepared takes the snapshot into use once it is written.
-func (n *Node) usePrepared() error {
-	p := n.preparing
+// activatePendingSnapshot activates the pending snapshot if it has been written.
+func (n *Node) activatePendingSnapshot() error {
+	p := n.pendingSnapshot
 	select {
 	case err := <-p.done:
-		n.preparing = nil
+		n.pendingSnapshot = nil
 		if err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 		return nil
 	}
 	index := p.snap.GetIndex()
-	if err := n.storage.UsePrepared(p.snap, n.core.slice(index+1, n.core.unsaved-1)); err != nil {
+	if err := n.storage.ActivateSnapshot(p.snap, n.core.slice(index+1, n.core.firstUnsaved-1)); err != nil {
 		return err
 	}
 	n.core.Compact(index)
@@ -72,14 +72,14 @@
 	return nil
 }
 
-// dropPrepared waits for a snapshot that is being written, and forgets it: a
-// newer one has come from the leader.
-func (n *Node) dropPrepared() {
-	if n.preparing == nil {
+// discardPendingSnapshot waits until the pending snapshot is written and discards it,
+// because the leader has sent a newer one.
+func (n *Node) discardPendingSnapshot() {
+	if n.pendingSnapshot == nil {
 		return
 	}
-	if err := <-n.preparing.done; err != nil {
-		n.Log.Warn("A snapshot was not written.", "error", err)
+	if err := <-n.pendingSnapshot.done; err != nil {
+		n.Log.Warn("Failed to write a snapshot.", "error", err)
 	}
-	n.preparing = nil
+	n.pendingSnapshot = nil
 }
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -6,17 +6,17 @@
 	"sumachead/api/wire"
 )
 
-// Step takes in one message.
+// Step handles one message.
 func (c *Core) Step(now time.Duration, m *wire.RaftMessage) {
 	c.now = now
 	if c.stepPoll(m) || !c.acceptable(m) {
 		return
 	}
-	if m.GetTerm() > c.term && !c.seeHigherTerm(m) {
+	if m.GetTerm() > c.term && !c.handleHigherTerm(m) {
 		return
 	}
 	if m.GetTerm() < c.term {
-		c.answerStale(m)
+		c.rejectStale(m)
 		return
 	}
 	switch m.GetKind() {
@@ -37,19 +37,20 @@
 	case wire.RaftKind_RAFT_KIND_TIMEOUT_NOW:
 		c.onTimeoutNow()
 	case wire.RaftKind_RAFT_KIND_UNKNOWN, wire.RaftKind_RAFT_KIND_POLL, wire.RaftKind_RAFT_KIND_POLL_REPLY:
-		// Of a later release, or dealt with by stepPoll above.
+		// UNKNOWN is a kind of a later release; stepPoll has handled polls.
 	}
 }
 
-// onTimeoutNow campaigns at once: the leader hands its leadership over to this
-// member.
+// onTimeoutNow campaigns immediately, because the leader transfers its leadership
+// to this member.
 func (c *Core) onTimeoutNow() {
 	if c.role == Follower {
 		c.campaign(true)
 	}
 }
 
-// acceptable drops messages of other groups, of or for another incarnation.
+// acceptable reports whether a message belongs to this group and neither its sender nor its
+// recipient is an outdated incarnation.
 func (c *Core) acceptable(m *wire.RaftMessage) bool {
 	if m.GetGroup() != c.cfg.Group || m.GetTo() != c.cfg.ID {
 		return false
@@ -58,54 +59,56 @@
 		return false
 	}
 	from := c.member(m.GetFrom())
-	return from == nil || from.GetIncarnation() == m.GetFromIncarnation() || fromLeader(m) || c.asksAhead(m)
+	return from == nil || from.GetIncarnation() == m.GetFromIncarnation() || fromLeader(m) || c.isVoteRequestFromAhead(m)
 }
 
-// asksAhead reports a message that asks for a vote and comes from a member whose log is ahead
-// of this one's.
-func (c *Core) asksAhead(m *wire.RaftMessage) bool {
+// isVoteRequestFromAhead reports whether a message requests a vote or pre-vote for a member
+// whose log is ahead of this one's.
+func (c *Core) isVoteRequestFromAhead(m *wire.RaftMessage) bool {
 	k := m.GetKind()
-	return (k == wire.RaftKind_RAFT_KIND_PRE_VOTE || k == wire.RaftKind_RAFT_KIND_VOTE) && c.behind(m)
+	return (k == wire.RaftKind_RAFT_KIND_PRE_VOTE || k == wire.RaftKind_RAFT_KIND_VOTE) && c.isBehind(m)
 }
 
-// behind reports whether the log of a member that asks for a vote is ahead of this one's, so
-// that it may hold changes of the members that this one lacks: the life that asks may have
-// become a voter by one of them, and so may this member. Were either held against them, a
-// majority of which one lacks the change that is in force would find no leader.
-func (c *Core) behind(m *wire.RaftMessage) bool {
+// isBehind reports whether the candidate's log is ahead of this one's. It may then contain
+// membership changes that this log lacks, by which the candidate's incarnation or this member
+// became a voter. Rejecting the request for either reason would leave a majority without a
+// leader if one of its members lacks the latest change.
+func (c *Core) isBehind(m *wire.RaftMessage) bool {
 	return c.upToDate(m) && (m.GetLogTerm() != c.lastTerm() || m.GetLogIndex() != c.lastIndex())
 }
 
-// mayVote reports whether this life of this member has a vote, or whoever asks for it knows
-// that better: it asks those that vote by its log.
-func (c *Core) mayVote(m *wire.RaftMessage) bool { return c.isVoter(c.cfg.ID) || c.behind(m) }
+// canVote reports whether this incarnation is a voter, either by its own log or because the
+// candidate's log is ahead: a candidate requests votes only from the voters in its own log.
+func (c *Core) canVote(m *wire.RaftMessage) bool { return c.isVoter(c.cfg.ID) || c.isBehind(m) }
 
-// fromLeader reports a message that only a leader sends. A member whose own
-// configuration is old must still take these in.
+// fromLeader reports whether only a leader sends this kind of message. A member must
+// accept it even if its own configuration is outdated.
 func fromLeader(m *wire.RaftMessage) bool {
 	k := m.GetKind()
 	return k == wire.RaftKind_RAFT_KIND_APPEND || k == wire.RaftKind_RAFT_KIND_SNAPSHOT
 }
 
-// sticky reports whether a live leader forbids voting for another.
-func (c *Core) sticky() bool {
+// hasLiveLeader reports whether this member must not vote because a leader is alive (leader
+// stickiness).
+func (c *Core) hasLiveLeader() bool {
 	if c.role == Leader {
-		return c.now-c.quorumAckedAt() <= c.cfg.Election
+		return c.now-c.quorumAckedAt() <= c.cfg.ElectionTimeout
 	}
-	return c.now-c.heardAt < c.cfg.Election
+	return c.now-c.heardAt < c.cfg.ElectionTimeout
 }
 
-// seeHigherTerm steps down where the message calls for it; false drops it.
-func (c *Core) seeHigherTerm(m *wire.RaftMessage) bool {
+// handleHigherTerm handles a message with a higher term and steps down if the message
+// requires it; false means that the message is dropped.
+func (c *Core) handleHigherTerm(m *wire.RaftMessage) bool {
 	switch m.GetKind() {
 	case wire.RaftKind_RAFT_KIND_PRE_VOTE:
-		return true // changes no term
+		return true // a pre-vote does not change the term
 	case wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY:
 		if !m.GetReject() {
-			return true // carries the term of the election to come
+			return true // carries the term of the upcoming election
 		}
 	case wire.RaftKind_RAFT_KIND_VOTE:
-		if c.sticky() && !m.GetTransfer() {
+		if c.hasLiveLeader() && !m.GetTransfer() {
 			return false
 		}
 	}
@@ -117,14 +120,14 @@
 	return true
 }
 
-// answerStale tells an old leader or candidate of the newer term.
-func (c *Core) answerStale(m *wire.RaftMessage) {
+// rejectStale informs an outdated leader or candidate of the current term.
+func (c *Core) rejectStale(m *wire.RaftMessage) {
 	to := sender(m)
 	switch m.GetKind() {
 	case wire.RaftKind_RAFT_KIND_APPEND, wire.RaftKind_RAFT_KIND_SNAPSHOT:
-		c.sendLate(to, &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_APPEND_REPLY, Term: c.term, Reject: true})
+		c.sendAfterSync(to, &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_APPEND_REPLY, Term: c.term, Reject: true})
 	case wire.RaftKind_RAFT_KIND_PRE_VOTE:
-		c.sendLate(to, &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY, Term: c.term, Reject: true})
+		c.sendAfterSync(to, &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY, Term: c.term, Reject: true})
 	}
 }
 
@@ -132,7 +135,7 @@
 	return &wire.Member{Id: m.GetFrom(), Incarnation: m.GetFromIncarnation()}
 }
 
-// upToDate reports whether the candidate's log holds all that this one does.
+// upToDate reports whether the candidate's log is at least as up to date as this one.
 func (c *Core) upToDate(m *wire.RaftMessage) bool {
 	if m.GetLogTerm() != c.lastTerm() {
 		return m.GetLogTerm() > c.lastTerm()
@@ -141,12 +144,12 @@
 }
 
 func (c *Core) onPreVote(m *wire.RaftMessage) {
-	grant := m.GetTerm() > c.term && !c.sticky() && c.upToDate(m) && c.mayVote(m)
+	grant := m.GetTerm() > c.term && !c.hasLiveLeader() && c.upToDate(m) && c.canVote(m)
 	term := m.GetTerm()
 	if !grant {
 		term = c.term
 	}
-	c.sendLate(sender(m), &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY, Term: term, Reject: !grant})
+	c.sendAfterSync(sender(m), &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY, Term: term, Reject: !grant})
 }
 
 func (c *Core) onPreVoteReply(m *wire.RaftMessage) {
@@ -158,12 +161,12 @@
 }
 
 func (c *Core) onVote(m *wire.RaftMessage) {
-	grant := (c.vote == "" || c.vote == m.GetFrom()) && c.upToDate(m) && c.mayVote(m)
+	grant := (c.vote == "" || c.vote == m.GetFrom()) && c.upToDate(m) && c.canVote(m)
 	if grant {
 		c.setTerm(c.term, m.GetFrom())
 		c.resetElection()
 	}
-	c.sendLate(sender(m), &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_VOTE_REPLY, Term: c.term, Reject: !grant})
+	c.sendAfterSync(sender(m), &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_VOTE_REPLY, Term: c.term, Reject: !grant})
 }
 
 func (c *Core) onVoteReply(m *wire.RaftMessage) {
@@ -174,40 +177,41 @@
 	c.countVotes()
 }
 
-// follow notes a live leader of this term.
-func (c *Core) follow(m *wire.RaftMessage) {
+// followLeader makes this member a follower of the sender, the leader of this term.
+func (c *Core) followLeader(m *wire.RaftMessage) {
 	c.role, c.leader, c.votes = Follower, m.GetFrom(), nil
 	c.heardAt = c.now
-	c.poll.idle = nil
+	c.poll.leaderless = nil
 	c.resetElection()
 }
 
 func (c *Core) onAppend(m *wire.RaftMessage) {
-	c.follow(m)
+	c.followLeader(m)
 	reply := &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_APPEND_REPLY, Term: c.term, Round: m.GetRound()}
 	prev := m.GetLogIndex()
 	if prev < c.commit {
-		// What is committed here is the same at the leader.
+		// The leader's log agrees with this one up to the commit index.
 		reply.LogIndex = c.commit
-		c.sendLate(sender(m), reply)
+		c.sendAfterSync(sender(m), reply)
 		return
 	}
 	if t, ok := c.termAt(prev); !ok || t != m.GetLogTerm() {
 		reply.Reject = true
 		reply.LogIndex = prev
-		reply.Hint = c.hintBefore(prev)
-		c.sendLate(sender(m), reply)
+		reply.Hint = c.conflictHint(prev)
+		c.sendAfterSync(sender(m), reply)
 		return
 	}
-	c.store(m.GetEntries())
+	c.mergeEntries(m.GetEntries())
 	last := prev + uint64(len(m.GetEntries()))
 	c.commit = max(c.commit, min(m.GetCommit(), last))
 	reply.LogIndex = last
-	c.sendLate(sender(m), reply)
+	c.sendAfterSync(sender(m), reply)
 }
 
-// hintBefore returns the last index at which the logs may still agree.
-func (c *Core) hintBefore(prev uint64) uint64 {
+// conflictHint returns the last index before prev at which the logs may still agree. It skips
+// all entries of a conflicting term at once.
+func (c *Core) conflictHint(prev uint64) uint64 {
 	hint := min(prev-1, c.lastIndex())
 	t, ok := c.termAt(hint)
 	for ok && hint > c.commit {
@@ -220,8 +224,8 @@
 	return max(hint, c.commit)
 }
 
-// store takes entries in, cutting off what conflicts with them.
-func (c *Core) store(entries []*wire.LogEntry) {
+// mergeEntries appends the entries that the log lacks and truncates conflicting ones.
+func (c *Core) mergeEntries(entries []*wire.LogEntry) {
 	for i, e := range entries {
 		t, ok := c.termAt(e.GetIndex())
 		if ok && t == e.GetTerm() {
@@ -236,14 +240,14 @@
 	}
 }
 
-// truncate drops the entries from index on.
+// truncate drops the entries from index onwards.
 func (c *Core) truncate(index uint64) {
 	if index <= c.commit {
-		panic("raft: a committed entry would be cut off")
+		panic("raft: truncation would drop a committed entry")
 	}
 	kept := c.slice(c.snapIndex+1, index-1)
 	c.entries = append([]*wire.LogEntry(nil), kept...)
-	c.unsaved = min(c.unsaved, index)
+	c.firstUnsaved = min(c.firstUnsaved, index)
 	c.persisted = min(c.persisted, index-1)
 	c.refreshMembers()
 }
@@ -283,28 +287,28 @@
 }
 
 func (c *Core) onSnapshot(m *wire.RaftMessage) {
-	c.follow(m)
+	c.followLeader(m)
 	s := m.GetSnapshot()
 	reply := &wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_APPEND_REPLY, Term: c.term, Round: m.GetRound()}
 	switch t, ok := c.termAt(s.GetIndex()); {
 	case s.GetIndex() <= c.commit:
 	case ok && t == s.GetTerm():
-		// The log holds all of the snapshot, and perhaps entries after it that
-		// have been confirmed to the leader: those must stay.
+		// The log already contains the snapshot's last entry. It may also contain later
+		// entries that were acknowledged to the leader; those must not be dropped.
 		c.commit = s.GetIndex()
 	default:
-		c.install(s)
+		c.installSnapshot(s)
 	}
 	reply.LogIndex = c.commit
-	c.sendLate(sender(m), reply)
+	c.sendAfterSync(sender(m), reply)
 }
 
-// install replaces the log by a snapshot.
-func (c *Core) install(s *wire.Snapshot) {
+// installSnapshot replaces the log with a snapshot.
+func (c *Core) installSnapshot(s *wire.Snapshot) {
 	c.snapIndex, c.snapTerm, c.snapMembers = s.GetIndex(), s.GetTerm(), s.GetMembers()
 	c.entries = nil
 	c.commit, c.applied, c.persisted = s.GetIndex(), s.GetIndex(), s.GetIndex()
-	c.unsaved = s.GetIndex() + 1
-	c.snapOut = s
+	c.firstUnsaved = s.GetIndex() + 1
+	c.snapToInstall = s
 	c.refreshMembers()
 }
--- a/internal/raft/storage.go
+++ b/internal/raft/storage.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	snapshotFile  = "snapshot"
-	preparedFile  = "snapshot.next"
-	segmentPrefix = "log-"
+	snapshotFile         = "snapshot"
+	preparedSnapshotFile = "snapshot.next"
+	segmentPrefix        = "log-"
 )
 
-// Storage keeps one group's log, vote and newest snapshot in a folder. It is
-// used by one goroutine.
+// Storage persists one group's log, vote and latest snapshot in a directory. It is not
+// safe for concurrent use.
 type Storage struct {
-	dir      string
-	segment  *wal.Log
-	number   uint64
-	state    *wire.HardState
-	snapshot *wire.Snapshot
+	dir           string
+	segment       *wal.Log
+	segmentNumber uint64
+	state         *wire.HardState
+	snapshot      *wire.Snapshot
 }
 
-// loader gathers what the segments hold.
+// loader accumulates the state and the entries read from the segments.
 type loader struct {
 	state     *wire.HardState
 	baseIndex uint64
@@ -38,14 +38,14 @@
 	entries   []*wire.LogEntry
 }
 
-// OpenStorage reads the folder and returns the entries that follow the
-// snapshot. A damaged file is a [*wal.DamageError].
+// OpenStorage reads the directory and returns the entries that follow the snapshot. It
+// returns a [*wal.CorruptionError] if a file is corrupt.
 func OpenStorage(dir string) (*Storage, []*wire.LogEntry, error) {
 	s := &Storage{dir: dir, state: &wire.HardState{}, snapshot: &wire.Snapshot{}}
 	if err := s.loadSnapshot(); err != nil {
 		return nil, nil, err
 	}
-	numbers, err := segments(dir)
+	numbers, err := listSegments(dir)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -59,7 +59,7 @@
 			return nil, nil, err
 		}
 		if i == len(numbers)-1 {
-			s.segment, s.number = log, n
+			s.segment, s.segmentNumber = log, n
 			break
 		}
 		if err := log.Close(); err != nil {
@@ -67,7 +67,7 @@
 		}
 	}
 	s.state = l.state
-	return s, l.after(s.snapshot), nil
+	return s, l.entriesAfter(s.snapshot), nil
 }
 
 func (s *Storage) loadSnapshot() error {
@@ -81,8 +81,8 @@
 	return trace.Wrap(proto.Unmarshal(data, s.snapshot), "decoding snapshot in %s", s.dir)
 }
 
-// segments returns the numbers of the log files in ascending order.
-func segments(dir string) ([]uint64, error) {
+// listSegments returns the numbers of the log segments in ascending order.
+func listSegments(dir string) ([]uint64, error) {
 	files, err := os.ReadDir(dir)
 	if err != nil && !os.IsNotExist(err) {
 		return nil, trace.ConvertSystemError(err)
@@ -105,7 +105,7 @@
 	return filepath.Join(s.dir, fmt.Sprintf("%s%012d", segmentPrefix, n))
 }
 
-// replay takes in one record of the log.
+// replay applies one record of the log.
 func (l *loader) replay(record []byte) error {
 	var r wire.LogRecord
 	if err := proto.Unmarshal(record, &r); err != nil {
@@ -127,9 +127,9 @@
 	return nil
 }
 
-// after returns the entries that follow the snapshot. A log that does not hold
-// the snapshot's last entry was replaced by it.
-func (l *loader) after(s *wire.Snapshot) []*wire.LogEntry {
+// entriesAfter returns the entries that follow the snapshot. If the log does not contain
+// the snapshot's last entry, the snapshot has replaced the log, and there are none.
+func (l *loader) entriesAfter(s *wire.Snapshot) []*wire.LogEntry {
 	at := int64(s.GetIndex()) - int64(l.baseIndex)
 	if at < 0 || at > int64(len(l.entries)) {
 		return nil
@@ -144,7 +144,7 @@
 	return slices.Clone(l.entries[at:])
 }
 
-// Save writes the vote and new entries with one sync.
+// Save persists the state and new entries with one sync.
 func (s *Storage) Save(state *wire.HardState, entries []*wire.LogEntry) error {
 	if state == nil && len(entries) == 0 {
 		return nil
@@ -163,36 +163,36 @@
 	return log.Append(data)
 }
 
-// SaveSnapshot stores a snapshot and starts a new log file that holds only the
+// SaveSnapshot persists a snapshot and starts a new log segment that contains only the
 // entries after it.
 func (s *Storage) SaveSnapshot(snap *wire.Snapshot, after []*wire.LogEntry) error {
 	if err := s.PrepareSnapshot(snap); err != nil {
 		return err
 	}
-	return s.UsePrepared(snap, after)
+	return s.ActivateSnapshot(snap, after)
 }
 
-// PrepareSnapshot writes a snapshot beside the one in use. It may run beside
-// other methods, once at a time.
+// PrepareSnapshot writes a snapshot to a temporary file. It may run concurrently with
+// other methods, but not with itself.
 func (s *Storage) PrepareSnapshot(snap *wire.Snapshot) error {
 	data, err := proto.Marshal(snap)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return wal.WriteFile(filepath.Join(s.dir, preparedFile), data)
+	return wal.WriteFile(filepath.Join(s.dir, preparedSnapshotFile), data)
 }
 
-// UsePrepared puts the prepared snapshot in the place of the one in use and
-// starts a new log file that holds only the entries after it.
-func (s *Storage) UsePrepared(snap *wire.Snapshot, after []*wire.LogEntry) error {
-	if err := os.Rename(filepath.Join(s.dir, preparedFile), filepath.Join(s.dir, snapshotFile)); err != nil {
+// ActivateSnapshot replaces the current snapshot with the prepared one and starts a new log
+// segment that contains only the entries after it.
+func (s *Storage) ActivateSnapshot(snap *wire.Snapshot, after []*wire.LogEntry) error {
+	if err := os.Rename(filepath.Join(s.dir, preparedSnapshotFile), filepath.Join(s.dir, snapshotFile)); err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	if err := wal.SyncFolder(s.dir); err != nil {
 		return err
 	}
 	s.snapshot = snap
-	next, err := wal.Open(s.segmentPath(s.number+1), func([]byte) error { return nil })
+	next, err := wal.Open(s.segmentPath(s.segmentNumber+1), func([]byte) error { return nil })
 	if err != nil {
 		return err
 	}
@@ -205,16 +205,16 @@
 	}
 	old := s.segment
 	s.segment = next
-	s.number++
+	s.segmentNumber++
 	if err := old.Close(); err != nil {
 		return err
 	}
-	return s.removeBefore(s.number)
+	return s.removeSegmentsBefore(s.segmentNumber)
 }
 
-// removeBefore deletes the log files older than number.
-func (s *Storage) removeBefore(number uint64) error {
-	numbers, err := segments(s.dir)
+// removeSegmentsBefore deletes the log segments older than number.
+func (s *Storage) removeSegmentsBefore(number uint64) error {
+	numbers, err := listSegments(s.dir)
 	if err != nil {
 		return err
 	}
@@ -229,5 +229,5 @@
 	return wal.SyncFolder(s.dir)
 }
 
-// Close closes the log file.
+// Close closes the current log segment.
 func (s *Storage) Close() error { return s.segment.Close() }
--- a/internal/raft/storage_test.go
+++ b/internal/raft/storage_test.go
@@ -12,8 +12,8 @@
 	"sumachead/api/wire"
 )
 
-// A crash at any byte of a write loses that write at most: what was saved before
-// it, and so what was told to others, is there.
+// Checks that a crash at any byte of a write loses at most that write. Earlier writes, which
+// may have been acknowledged to other members, are kept.
 func TestStorageSurvivesACrashAtEveryByte(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := OpenStorage(dir)
@@ -38,26 +38,26 @@
 		t.Fatal(err)
 	}
 	for cut := range data {
-		whole := 0
-		for whole < writes && sizes[whole] <= int64(cut) {
-			whole++
+		complete := 0
+		for complete < writes && sizes[complete] <= int64(cut) {
+			complete++
 		}
-		again := t.TempDir()
-		if err := os.WriteFile(filepath.Join(again, filepath.Base(path)), data[:cut], 0o600); err != nil {
+		copied := t.TempDir()
+		if err := os.WriteFile(filepath.Join(copied, filepath.Base(path)), data[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		r, entries, err := OpenStorage(again)
+		r, entries, err := OpenStorage(copied)
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		if len(entries) != whole || r.state.GetTerm() != uint64(whole) {
-			t.Fatalf("cut at %d: %d entries and term %d, want %d of each", cut, len(entries), r.state.GetTerm(), whole)
+		if len(entries) != complete || r.state.GetTerm() != uint64(complete) {
+			t.Fatalf("cut at %d: %d entries and term %d, want %d of each", cut, len(entries), r.state.GetTerm(), complete)
 		}
 		_ = r.Close()
 	}
 }
 
-// The storage restores what was saved, through snapshots and restarts.
+// Checks that the storage restores saved entries across snapshots and restarts.
 func TestStorageRoundTrip(t *testing.T) {
 	dir := t.TempDir()
 	s, entries, err := OpenStorage(dir)
--- a/internal/raft/suspend_test.go
+++ b/internal/raft/suspend_test.go
@@ -9,29 +9,30 @@
 	"sumachead/api/wire"
 )
 
-// suspend stops a member for a while as if its host were suspended: it does nothing, and
-// nothing that is sent meanwhile reaches it. What is to come first is queued before the member
-// goes on.
-func (g *group) suspend(m *member, id string, lasts time.Duration, first func()) {
-	g.setCut(id, true)
-	defer g.setCut(id, false)
-	asleep, awake := make(chan struct{}), make(chan struct{})
+// suspend pauses a member as if its host were suspended: it does nothing, and messages that
+// are sent to it meanwhile are lost. The call that first makes is queued before the member
+// resumes, so that it is handled first.
+func (g *group) suspend(m *member, id string, duration time.Duration, first func()) {
+	g.setPartitioned(id, true)
+	defer g.setPartitioned(id, false)
+	suspended, resume := make(chan struct{}), make(chan struct{})
 	m.node.calls <- func() {
-		close(asleep)
-		<-awake
+		close(suspended)
+		<-resume
 	}
-	<-asleep
-	time.Sleep(lasts)
+	<-suspended
+	time.Sleep(duration)
 	go first()
-	time.Sleep(5 * time.Millisecond) // it is queued by then
-	close(awake)
+	time.Sleep(5 * time.Millisecond) // first has queued its call by then
+	close(resume)
 	time.Sleep(5 * time.Millisecond)
 }
 
-// A leader whose host was suspended for longer than its lease wakes up without it: another one
-// has been elected, and has taken commands that this one does not know.
+// Checks that a leader whose host was suspended for longer than its lease does not hold the
+// lease when it resumes. Another leader has been elected and has committed commands that the
+// suspended one lacks.
 func TestSuspendedLeaderHasNoLease(t *testing.T) {
-	g := &group{t: t, live: make(map[string]*member), cut: make(map[string]bool)}
+	g := &group{t: t, running: make(map[string]*member), partitioned: make(map[string]bool)}
 	ids := []string{"k0", "k1", "k2"}
 	founders := &wire.Members{}
 	for _, id := range ids {
@@ -45,16 +46,16 @@
 			g.stop(id)
 		}
 	}()
-	leader := func(but string) (string, *member) {
+	leader := func(except string) (string, *member) {
 		for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 			for _, id := range ids {
-				m := g.live[id]
-				if id != but && m.node.Leading() && m.node.ReadBarrier(t.Context()) == nil {
+				m := g.running[id]
+				if id != except && m.node.Leading() && m.node.ReadBarrier(t.Context()) == nil {
 					return id, m
 				}
 			}
 		}
-		t.Fatal("nobody leads")
+		t.Fatal("no leader")
 		return "", nil
 	}
 	for range 5 {
@@ -62,7 +63,7 @@
 		barrier := make(chan error, 1)
 		other := make(chan error, 1)
 		go func() {
-			time.Sleep(20 * time.Millisecond) // the leader sleeps
+			time.Sleep(20 * time.Millisecond) // the leader is suspended by then
 			_, next := leader(id)
 			_, err := next.node.Propose(t.Context(), []byte("7"))
 			other <- err
@@ -73,11 +74,11 @@
 			barrier <- m.node.ReadBarrier(ctx)
 		})
 		if err := <-other; err != nil {
-			t.Fatalf("another leader's command: %v", err)
+			t.Fatalf("command at the other leader: %v", err)
 		}
-		var not *NotLeaderError
-		if err := <-barrier; !errors.As(err, &not) {
-			t.Fatalf("a leader that was suspended holds its lease: %v", err)
+		var notLeader *NotLeaderError
+		if err := <-barrier; !errors.As(err, &notLeader) {
+			t.Fatalf("the leader still holds its lease after it was suspended: %v", err)
 		}
 	}
 }
