--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,10 +1,10 @@
-// Package wal keeps records in files that survive a crash.
+// Package wal implements a write-ahead log: files of records that survive a crash.
 //
 // A [Log] is a file of checksummed records. [Log.Append] writes one record and
-// syncs it before it returns; since the next record is written only after
-// that, a crash can damage none but the last record. Opening a log therefore
-// cuts a damaged tail, and refuses a damaged record that sound ones follow.
-// [WriteFile] replaces a whole small file with the same care.
+// syncs it before it returns. Since the next record is written only after
+// that, a crash can corrupt only the last record. Opening a log therefore
+// truncates a corrupt tail, but fails if valid records follow a corrupt one.
+// [WriteFile] atomically replaces a small file with a single record.
 package wal
 
 import (
@@ -21,18 +21,18 @@
 )
 
 const (
-	// headerBytes is the size of a record's length and checksum.
+	// headerBytes is the size of a record's header, its length and checksum.
 	headerBytes = 8
-	// maxRecordBytes bounds one record.
+	// maxRecordBytes is the maximum size of one record.
 	maxRecordBytes = 1 << 30
-	folderMode     = 0o750
+	dirMode        = 0o750
 	fileMode       = 0o640
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// DamageError reports a damaged record that sound records follow: the file
-// lost something that had been synced.
+// CorruptionError reports a corrupt record that valid records follow: data that
+// had been synced is lost.
 type DamageError struct {
 	File   string
 	Offset int64
@@ -40,7 +40,7 @@
 
 // Error implements error.
 func (e *DamageError) Error() string {
-	return fmt.Sprintf("%s: record at offset %d is damaged and sound records follow it; the file is not used", e.File, e.Offset)
+	return fmt.Sprintf("%s: record at offset %d is corrupt and valid records follow it; refusing to use the file", e.File, e.Offset)
 }
 
 // Log is an append-only file of records. It is not safe for concurrent use.
@@ -51,9 +51,9 @@
 }
 
 // Open opens or creates the log at path and passes each record to replay in
-// order. It returns a [*DamageError] when the middle of the file is damaged.
+// order. It returns a [*CorruptionError] if valid records follow a corrupt one.
 func Open(path string, replay func(record []byte) error) (*Log, error) {
-	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
+	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
@@ -72,7 +72,7 @@
 	return l, nil
 }
 
-// load replays the sound records and cuts a torn tail.
+// load replays the valid records and truncates a torn tail.
 func (l *Log) load(replay func([]byte) error) error {
 	end, err := l.scan(replay)
 	if err != nil {
@@ -83,7 +83,7 @@
 		return trace.ConvertSystemError(err)
 	}
 	if info.Size() > end {
-		if err := l.cutTail(end); err != nil {
+		if err := l.truncateTail(end); err != nil {
 			return err
 		}
 	}
@@ -92,14 +92,13 @@
 	return trace.ConvertSystemError(err)
 }
 
-// scan replays records until the first that is not sound and returns its
-// offset.
+// scan replays records up to the first invalid one and returns the offset of that one.
 func (l *Log) scan(replay func([]byte) error) (int64, error) {
 	r := bufio.NewReaderSize(l.f, 1<<20)
 	var offset int64
 	for {
 		record, err := readRecord(r)
-		if errors.Is(err, errUnsound) || errors.Is(err, io.EOF) {
+		if errors.Is(err, errInvalidRecord) || errors.Is(err, io.EOF) {
 			return offset, nil
 		}
 		if err != nil {
@@ -112,14 +111,14 @@
 	}
 }
 
-// cutTail drops what follows offset, unless a sound record stands there.
-func (l *Log) cutTail(offset int64) error {
+// truncateTail truncates the file at offset, unless a valid record follows.
+func (l *Log) truncateTail(offset int64) error {
 	data, err := io.ReadAll(io.NewSectionReader(l.f, offset, maxRecordBytes))
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	for i := 1; i+headerBytes < len(data); i++ {
-		if soundAt(data[i:]) {
+		if hasValidRecord(data[i:]) {
 			return &DamageError{File: l.path, Offset: offset}
 		}
 	}
@@ -129,33 +128,33 @@
 	return trace.ConvertSystemError(l.f.Sync())
 }
 
-var errUnsound = errors.New("record is not sound")
+var errInvalidRecord = errors.New("invalid record")
 
-// readRecord returns the next record, io.EOF at a clean end, or errUnsound.
+// readRecord returns the next record, io.EOF at the end of the file, or errInvalidRecord.
 func readRecord(r io.Reader) ([]byte, error) {
 	var h [headerBytes]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil, errUnsound
+			return nil, errInvalidRecord
 		}
 		return nil, err
 	}
 	n := binary.LittleEndian.Uint32(h[:4])
 	if n == 0 || n > maxRecordBytes {
-		return nil, errUnsound
+		return nil, errInvalidRecord
 	}
 	record, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err != nil {
 		return nil, err
 	}
 	if len(record) < int(n) || crc32.Checksum(record, castagnoli) != binary.LittleEndian.Uint32(h[4:]) {
-		return nil, errUnsound
+		return nil, errInvalidRecord
 	}
 	return record, nil
 }
 
-// soundAt reports whether a whole record with a right checksum starts data.
-func soundAt(data []byte) bool {
+// hasValidRecord reports whether data starts with a complete record with a matching checksum.
+func hasValidRecord(data []byte) bool {
 	n := binary.LittleEndian.Uint32(data[:4])
 	if n == 0 || int64(n) > int64(len(data)-headerBytes) {
 		return false
@@ -165,10 +164,10 @@
 }
 
 // Append writes one record and syncs it. After an error the log must not be
-// used again: what is on disk is not known.
+// used again, since the state of the file is unknown.
 func (l *Log) Append(record []byte) error {
 	if len(record) == 0 || len(record) > maxRecordBytes {
-		return trace.BadParameter("record of %d bytes", len(record))
+		return trace.BadParameter("invalid record size of %d bytes", len(record))
 	}
 	buf := make([]byte, headerBytes+len(record))
 	binary.LittleEndian.PutUint32(buf[:4], uint32(len(record)))
@@ -193,16 +192,16 @@
 // Close closes the file.
 func (l *Log) Close() error { return trace.ConvertSystemError(l.f.Close()) }
 
-// WriteFile replaces the file at path by one checksummed record, atomically.
+// WriteFile atomically replaces the file at path with one checksummed record.
 func WriteFile(path string, record []byte) error {
-	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
+	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	temp := path + ".tmp"
-	if err := os.Remove(temp); err != nil && !os.IsNotExist(err) {
+	tempPath := path + ".tmp"
+	if err := os.Remove(tempPath); err != nil && !os.IsNotExist(err) {
 		return trace.ConvertSystemError(err)
 	}
-	l, err := Open(temp, func([]byte) error { return nil })
+	l, err := Open(tempPath, func([]byte) error { return nil })
 	if err != nil {
 		return err
 	}
@@ -213,14 +212,14 @@
 	if err := l.Close(); err != nil {
 		return err
 	}
-	if err := os.Rename(temp, path); err != nil {
+	if err := os.Rename(tempPath, path); err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	return SyncFolder(filepath.Dir(path))
 }
 
-// ReadFile returns the record that [WriteFile] wrote. A missing file is a
-// trace.NotFound error; a damaged one is a [*DamageError].
+// ReadFile returns the record written by [WriteFile]. It returns a trace.NotFound
+// error if the file is missing and a [*CorruptionError] if it is corrupt.
 func ReadFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -234,7 +233,7 @@
 	return record, nil
 }
 
-// SyncFolder makes renames and new files in a folder durable.
+// SyncDir syncs a directory, which makes renames and new files in it durable.
 func SyncFolder(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// written returns a log file with the records.
-func written(t *testing.T, records ...string) (path string, data []byte) {
+// writeLog creates a log file with the given records and returns its path and content.
+func writeLog(t *testing.T, records ...string) (path string, data []byte) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "log")
 	l, err := Open(path, func([]byte) error { return nil })
@@ -39,10 +39,10 @@
 	return path, data
 }
 
-// A crash while the last record is written leaves any part of it: the records
-// before it are kept, and the log goes on.
-func TestTornTailIsCut(t *testing.T) {
-	path, data := written(t, "one", "two", "three")
+// Checks that a last record that a crash left partially written is dropped, that the
+// records before it are kept, and that the log can be appended to.
+func TestTornTailIsTruncated(t *testing.T) {
+	path, data := writeLog(t, "one", "two", "three")
 	last := len(data) - headerBytes - len("three")
 	for cut := last; cut < len(data); cut++ {
 		if err := os.WriteFile(path, data[:cut], fileMode); err != nil {
@@ -68,10 +68,10 @@
 	}
 }
 
-// A flipped bit anywhere before the last record is damage: synced records
-// would be lost. In the last record it can't be told from a torn write.
-func TestDamageInTheMiddleIsRefused(t *testing.T) {
-	path, data := written(t, "one", "two", "three")
+// Checks that a flipped bit anywhere before the last record is reported, since synced
+// records would be lost. In the last record it cannot be distinguished from a torn write.
+func TestCorruptionBeforeLastRecordIsReported(t *testing.T) {
+	path, data := writeLog(t, "one", "two", "three")
 	last := len(data) - headerBytes - len("three")
 	for i := range last {
 		bad := append([]byte(nil), data...)
@@ -80,14 +80,14 @@
 			t.Fatal(err)
 		}
 		_, err := Open(path, func([]byte) error { return nil })
-		var damage *DamageError
-		if !errors.As(err, &damage) || damage.File != path {
-			t.Fatalf("byte %d: want a DamageError of %s, got %v", i, path, err)
+		var corruption *DamageError
+		if !errors.As(err, &corruption) || corruption.File != path {
+			t.Fatalf("byte %d: want a CorruptionError for %s, got %v", i, path, err)
 		}
 	}
 }
 
-func TestWriteFileReplacesWhole(t *testing.T) {
+func TestWriteFileReplacesContent(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	for _, want := range []string{"first", "second"} {
 		if err := WriteFile(path, []byte(want)); err != nil {
@@ -101,8 +101,8 @@
 	if err := os.WriteFile(path, []byte("xxxxxxxxxxxx"), fileMode); err != nil {
 		t.Fatal(err)
 	}
-	var damage *DamageError
-	if _, err := ReadFile(path); !errors.As(err, &damage) {
-		t.Fatalf("want a DamageError, got %v", err)
+	var corruption *DamageError
+	if _, err := ReadFile(path); !errors.As(err, &corruption) {
+		t.Fatalf("want a CorruptionError, got %v", err)
 	}
 }
