--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -226,9 +226,9 @@
 		d.LocalAddr = &net.TCPAddr{IP: c.From}
 	}
 	if c.Relay == "" {
-		return tcp.DialAgain(context.Background(), d, c.Address)
+		return tcp.DialHedged(context.Background(), d, c.Address)
 	}
-	conn, err := tcp.DialAgain(context.Background(), d, c.Relay)
+	conn, err := tcp.DialHedged(context.Background(), d, c.Relay)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tcp/dial.go
+++ b/internal/tcp/dial.go
@@ -7,60 +7,60 @@
 	"time"
 )
 
-// dialAgainAfter is the time between dials of one connection: more than a round trip
-// between regions, and far less than the second after which a kernel repeats a lost
-// first packet.
-const dialAgainAfter = 60 * time.Millisecond
+// dialInterval is the interval between concurrent dial attempts. It is longer than a round
+// trip between regions, and far shorter than the one second after which the kernel
+// retransmits a lost SYN.
+const dialInterval = 60 * time.Millisecond
 
-// DialAgain connects to an address with a dialer. While there is no answer it dials
-// again at intervals, and takes the connection that comes first: a host that was down
-// or cut off when the first packet came is reached soon after it is back. It ends with
-// the first dial that is answered, by a refusal too.
-func DialAgain(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
+// DialHedged connects to an address with a dialer. While no attempt has completed, it
+// starts another one every dialInterval, and returns the result of the first that is
+// accepted or refused. A host that was down or partitioned when the first SYN was sent
+// is thus reached soon after it has recovered.
+func DialHedged(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
-	dials := make(chan dialed)
-	under := 0
+	results := make(chan dialResult)
+	pending := 0
 	start := func() {
-		under++
+		pending++
 		go func() {
 			c, err := d.DialContext(ctx, "tcp", address)
-			dials <- dialed{c, err}
+			results <- dialResult{c, err}
 		}()
 	}
-	again := time.NewTicker(dialAgainAfter)
-	defer again.Stop()
-	defer func() { go closeRest(dials, under) }()
+	ticker := time.NewTicker(dialInterval)
+	defer ticker.Stop()
+	defer func() { go closeUnused(results, pending) }()
 	start()
 	for {
 		select {
-		case r := <-dials:
-			under--
-			if r.err == nil || !isTimeout(r.err) || under == 0 {
+		case r := <-results:
+			pending--
+			if r.err == nil || !isTimeout(r.err) || pending == 0 {
 				return r.conn, r.err
 			}
-		case <-again.C:
+		case <-ticker.C:
 			start()
 		}
 	}
 }
 
-// dialed is the outcome of one dial.
-type dialed struct {
+// dialResult is the result of one dial attempt.
+type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// closeRest closes the connections of dials that are not needed any more.
-func closeRest(dials <-chan dialed, n int) {
+// closeUnused closes the connections of the n attempts whose results are not needed.
+func closeUnused(results <-chan dialResult, n int) {
 	for range n {
-		if r := <-dials; r.conn != nil {
+		if r := <-results; r.conn != nil {
 			_ = r.conn.Close()
 		}
 	}
 }
 
-// isTimeout reports whether a dial has ended without any answer.
+// isTimeout reports whether a dial attempt has timed out without a reply.
 func isTimeout(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) && n.Timeout()
--- a/internal/tcp/dial_test.go
+++ b/internal/tcp/dial_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// lostDials is a dialer whose first dials get no answer, as from a host that is down,
-// and the later ones what the address answers.
-func lostDials(lost int32) *net.Dialer {
-	var dials atomic.Int32
+// newLossyDialer returns a dialer whose first lost attempts get no reply, as from a host that
+// is down. Later attempts dial the address.
+func newLossyDialer(lost int32) *net.Dialer {
+	var attempts atomic.Int32
 	return &net.Dialer{
 		Timeout: 500 * time.Millisecond,
 		ControlContext: func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
-			if dials.Add(1) > lost {
+			if attempts.Add(1) > lost {
 				return nil
 			}
 			<-ctx.Done()
@@ -26,7 +26,7 @@
 	}
 }
 
-// outcome is how a dial ends.
+// outcome is the outcome of a dial.
 type outcome string
 
 const (
@@ -36,8 +36,8 @@
 	other     outcome = "other"
 )
 
-// kindOf returns the outcome that an error means.
-func kindOf(err error) outcome {
+// outcomeOf returns the outcome that err represents.
+func outcomeOf(err error) outcome {
 	switch {
 	case err == nil:
 		return connected
@@ -49,43 +49,43 @@
 	return other
 }
 
-func TestDialAgain(t *testing.T) {
+func TestDialHedged(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = gone.Close()
-	const most = 400 * time.Millisecond // less than the dialer's timeout, with room for a busy host
+	_ = closed.Close()
+	const maxDelay = 400 * time.Millisecond // less than the dialer's timeout, with a margin for a busy host
 	tests := []struct {
 		name    string
 		address string
 		lost    int32
 		want    outcome
-		within  time.Duration
+		maxTime time.Duration
 	}{
-		{"answered", l.Addr().String(), 0, connected, most},
-		{"back after two dials", l.Addr().String(), 2, connected, most},
-		{"refused", gone.Addr().String(), 0, refused, most},
-		{"refused once it is back", gone.Addr().String(), 1, refused, most},
-		{"never answered", l.Addr().String(), 100, silent, 2 * time.Second},
+		{"accepted", l.Addr().String(), 0, connected, maxDelay},
+		{"accepted after two lost attempts", l.Addr().String(), 2, connected, maxDelay},
+		{"refused", closed.Addr().String(), 0, refused, maxDelay},
+		{"refused after one lost attempt", closed.Addr().String(), 1, refused, maxDelay},
+		{"no reply", l.Addr().String(), 100, silent, 2 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			begun := time.Now()
-			c, err := DialAgain(t.Context(), lostDials(tt.lost), tt.address)
+			start := time.Now()
+			c, err := DialHedged(t.Context(), newLossyDialer(tt.lost), tt.address)
 			if c != nil {
 				_ = c.Close()
 			}
-			if got := kindOf(err); got != tt.want {
+			if got := outcomeOf(err); got != tt.want {
 				t.Fatalf("got %v, want %v", err, tt.want)
 			}
-			if took := time.Since(begun); took > tt.within {
-				t.Fatalf("took %v", took)
+			if elapsed := time.Since(start); elapsed > tt.maxTime {
+				t.Fatalf("took %v", elapsed)
 			}
 		})
 	}
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -1,6 +1,6 @@
-// Package tcp holds how all connections of a process find out that their other
-// end has gone silent: a peer that lost power or is cut off resets nothing.
-// [Dialer] and [ListenConfig] make both ends of connections that do.
+// Package tcp sets the TCP options by which the connections of a process detect an
+// unresponsive peer: one that lost power or is partitioned sends no reset.
+// [Dialer] sets them for outgoing and [ListenConfig] for incoming connections.
 package tcp
 
 import (
@@ -10,41 +10,42 @@
 )
 
 const (
-	// userTimeout is how long sent bytes may stay without acknowledgement: many
-	// round trips between data halls, and less than a caller waits.
+	// userTimeout is how long sent data may remain unacknowledged: many round trips
+	// between data halls, but less than a caller waits.
 	userTimeout = 2 * time.Second
-	// probeIdle and probeInterval are the least that the kernel's timers allow.
-	probeIdle     = time.Second
-	probeInterval = time.Second
-	probeCount    = 3
-	// optUserTimeout is TCP_USER_TIMEOUT of Linux, in milliseconds.
+	// keepAliveIdle and keepAliveInterval are the minimum that the kernel supports.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
+	// optUserTimeout is the Linux socket option TCP_USER_TIMEOUT, in milliseconds.
 	optUserTimeout = 18
 )
 
-// keepAlive returns probes that end a silent connection within some seconds.
-func keepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
+// keepAliveConfig returns a configuration of keep-alive probes that close an unresponsive
+// connection within a few seconds.
+func keepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// control sets the user time-out on a socket, as the Control of a net.Dialer or
+// control sets the user timeout on a socket; it is the Control function of net.Dialer and
 // net.ListenConfig.
 func control(_, _ string, c syscall.RawConn) error {
-	var inner error
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		inner = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optUserTimeout, int(userTimeout/time.Millisecond))
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optUserTimeout, int(userTimeout/time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
-	return inner
+	return optErr
 }
 
-// ListenConfig returns a listener's settings with these options.
+// ListenConfig returns a listener configuration with these options.
 func ListenConfig() *net.ListenConfig {
-	return &net.ListenConfig{KeepAliveConfig: keepAlive(), Control: control}
+	return &net.ListenConfig{KeepAliveConfig: keepAliveConfig(), Control: control}
 }
 
-// Dialer returns a dialer with these options that gives up after a timeout.
+// Dialer returns a dialer with these options and a timeout.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive(), Control: control}
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAliveConfig(), Control: control}
 }
