--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -20,53 +20,54 @@
 )
 
 const (
-	// dialTimeout is some round trips between regions.
+	// dialTimeout is several round trips between regions.
 	dialTimeout = 300 * time.Millisecond
-	// handshakeTimeout bounds what follows on a new connection: TLS, or the words
-	// with a relay. Small hosts under load take some hundred milliseconds.
+	// handshakeTimeout is the timeout of the TLS or relay handshake on a new connection.
+	// Small hosts under load need several hundred milliseconds.
 	handshakeTimeout = time.Second
-	// silentFor is how long a connection with an overdue call may bring no
-	// reply at all before it is given up and dialled again.
-	silentFor = 2 * time.Second
-	// redialAfter keeps a dead address from being dialled on each call. It is short
-	// beside the time in which a process starts: who is back should be reached.
-	redialAfter = 15 * time.Millisecond
-	// idleFor is how long a connection rests that nobody uses: longer than the intervals at
-	// which processes call each other that need each other, and much shorter than the time
-	// after which a router of a large fleet asks the same one of many others again.
-	idleFor = 8 * time.Second
+	// silenceTimeout is how long no reply may arrive on a connection with an overdue
+	// call before the connection is dropped and dialed again.
+	silenceTimeout = 2 * time.Second
+	// redialInterval is the minimum time between a failed dial and the next one, so that
+	// not every call dials an unreachable address. It is short compared to the start of a
+	// process, so that a restarted one is reached soon.
+	redialInterval = 15 * time.Millisecond
+	// idleTimeout is how long a connection without calls stays open. It is longer than the
+	// interval between calls of processes that call each other regularly, and much shorter
+	// than the interval at which a router of a large fleet calls the same one of many peers.
+	idleTimeout = 8 * time.Second
 )
 
-// ErrNotSent marks a call that never left this process: it had no effect.
+// ErrNotSent means that a call was not sent and so had no effect.
 var ErrNotSent = errors.New("call was not sent")
 
-// IsRefused reports whether a call ended since no process listens at the address. A
-// firewall that refuses connections in a host's name looks the same.
+// IsConnectionRefused reports whether a call failed because no process listens at the
+// address. A firewall that refuses connections to a host causes the same error.
 func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Client calls one address.
+// Client calls methods of the server at one address.
 type Client struct {
 	Address string
 	TLS     *tls.Config
-	// From is the local IP address to dial from; nil for any.
-	From net.IP
-	// Relay is the address of a relay to connect through; empty for none.
-	Relay string
+	// LocalIP is the local address to dial from; nil means any.
+	LocalIP net.IP
+	// RelayAddress is the address of a relay to connect through; empty means a direct connection.
+	RelayAddress string
 
-	mu       sync.Mutex // guards the fields below
-	conn     *connection
-	lastGood time.Time
-	dialAt   time.Time
-	dialErr  error
-	dialing  chan struct{}
-	// calls are those under way, and usedAt is when the last one began or ended.
-	calls  int
-	usedAt time.Time
+	mu          sync.Mutex // guards the fields below
+	conn        *connection
+	lastReplyAt time.Time
+	lastDialAt  time.Time
+	dialErr     error
+	dialing     chan struct{}
+	// inFlight is the number of calls in flight; lastUsedAt is when one last started or ended.
+	inFlight   int
+	lastUsedAt time.Time
 }
 
-// Call runs a method and waits for its reply or the end of ctx. A failure to
-// connect wraps [ErrNotSent]. The reply is new for each call, since one that
-// was given up may still be written to.
+// Call calls a method and returns its reply, or an error once ctx is done. A failure to
+// connect wraps [ErrNotSent]. Each call allocates its reply, because net/rpc may still
+// write to the reply of a call that was canceled.
 func Call[R any](ctx context.Context, c *Client, method string, args proto.Message) (*R, error) {
 	reply := new(R)
 	if err := c.call(ctx, method, args, reply); err != nil {
@@ -75,26 +76,26 @@
 	return reply, nil
 }
 
-// connection is one connection of a client.
+// connection is a client's connection to its server.
 type connection struct {
 	*rpc.Client
-	// dropped: this side closed it, so that calls under way end as if they had
-	// not been sent.
-	dropped atomic.Bool
+	// closedLocally is set if this side closed the connection. Calls in flight then fail
+	// with rpc.ErrShutdown although they were sent.
+	closedLocally atomic.Bool
 }
 
-// end closes the connection from this side; nil is none. It may wait for the other side to read
-// its last words, so no lock is held.
-func (c *connection) end() {
+// shutDown closes the connection from this side; c may be nil. It may block until the other
+// side has read the final data, so no lock may be held.
+func (c *connection) shutDown() {
 	if c != nil {
-		c.dropped.Store(true)
+		c.closedLocally.Store(true)
 		_ = c.Close()
 	}
 }
 
 func (c *Client) call(ctx context.Context, method string, args, reply any) error {
-	c.use(1)
-	defer c.use(-1)
+	c.addInFlight(1)
+	defer c.addInFlight(-1)
 	for {
 		conn, err := c.connect(ctx)
 		if err != nil {
@@ -104,43 +105,44 @@
 		select {
 		case <-call.Done:
 		case <-ctx.Done():
-			c.overdue(conn)
+			c.dropIfSilent(conn)
 			return trace.Wrap(ctx.Err(), "calling %s at %s", method, c.Address)
 		}
-		if errors.Is(call.Error, rpc.ErrShutdown) && !conn.dropped.Load() {
-			// The other side had closed it before: nothing was sent.
+		if errors.Is(call.Error, rpc.ErrShutdown) && !conn.closedLocally.Load() {
+			// The other side had already closed the connection: the call was not sent.
 			c.drop(conn)
 			continue
 		}
-		return c.finish(conn, call.Error)
+		return c.handleResult(conn, call.Error)
 	}
 }
 
-// use counts calls under way.
-func (c *Client) use(n int) {
+// addInFlight adds n to the number of calls in flight.
+func (c *Client) addInFlight(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls += n
-	c.usedAt = time.Now()
+	c.inFlight += n
+	c.lastUsedAt = time.Now()
 }
 
-// tidy ends the connection if nobody has used it for long.
-func (c *Client) tidy(now time.Time) {
+// closeIfIdle closes the connection if it has been idle for longer than idleTimeout.
+func (c *Client) closeIfIdle(now time.Time) {
 	c.mu.Lock()
 	var conn *connection
-	if c.calls == 0 && now.Sub(c.usedAt) > idleFor {
+	if c.inFlight == 0 && now.Sub(c.lastUsedAt) > idleTimeout {
 		conn, c.conn = c.conn, nil
 	}
 	c.mu.Unlock()
-	conn.end()
+	conn.shutDown()
 }
 
-// finish notes the health of the connection that a call ended on.
-func (c *Client) finish(conn *connection, err error) error {
+// handleResult handles the result of a call: a reply proves that conn works, any other error
+// drops it.
+func (c *Client) handleResult(conn *connection, err error) error {
 	var remote rpc.ServerError
 	if err == nil || errors.As(err, &remote) {
 		c.mu.Lock()
-		c.lastGood = time.Now()
+		c.lastReplyAt = time.Now()
 		c.mu.Unlock()
 		return err
 	}
@@ -148,10 +150,10 @@
 	return trace.Wrap(err, "connection to %s", c.Address)
 }
 
-// overdue gives up a connection that has gone silent.
-func (c *Client) overdue(conn *connection) {
+// dropIfSilent drops a connection on which no reply has arrived for silenceTimeout.
+func (c *Client) dropIfSilent(conn *connection) {
 	c.mu.Lock()
-	silent := time.Since(c.lastGood) > silentFor
+	silent := time.Since(c.lastReplyAt) > silenceTimeout
 	c.mu.Unlock()
 	if silent {
 		c.drop(conn)
@@ -164,11 +166,11 @@
 		c.conn = nil
 	}
 	c.mu.Unlock()
-	conn.end()
+	conn.shutDown()
 }
 
-// connect returns the open connection or dials one; concurrent callers share
-// a dial.
+// connect returns the open connection or dials a new one; concurrent callers share
+// one dial.
 func (c *Client) connect(ctx context.Context) (*connection, error) {
 	for {
 		c.mu.Lock()
@@ -177,7 +179,7 @@
 			c.mu.Unlock()
 			return conn, nil
 		}
-		if c.dialErr != nil && time.Since(c.dialAt) < redialAfter {
+		if c.dialErr != nil && time.Since(c.lastDialAt) < redialInterval {
 			err := c.dialErr
 			c.mu.Unlock()
 			return nil, err
@@ -192,43 +194,43 @@
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			return nil, trace.Wrap(ctx.Err(), "dialling %s", c.Address)
+			return nil, trace.Wrap(ctx.Err(), "dialing %s", c.Address)
 		}
 	}
 }
 
 func (c *Client) dial(done chan struct{}) {
-	conn, err := c.open()
+	conn, err := c.dialConn()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dialAt = time.Now()
+	c.lastDialAt = time.Now()
 	c.dialErr = err
 	c.dialing = nil
 	if err == nil {
-		c.lastGood = time.Now()
-		c.conn = &connection{Client: rpc.NewClientWithCodec(&clientCodec{newStream(conn)})}
+		c.lastReplyAt = time.Now()
+		c.conn = &connection{Client: rpc.NewClientWithCodec(&clientCodec{newFramedConn(conn)})}
 	}
 	close(done)
 }
 
-func (c *Client) open() (net.Conn, error) {
-	conn, err := c.openPlain()
+func (c *Client) dialConn() (net.Conn, error) {
+	conn, err := c.dialPlain()
 	if err != nil || c.TLS == nil {
 		return conn, err
 	}
-	return c.secure(conn)
+	return c.startTLS(conn)
 }
 
-// openPlain connects to the address, or to the relay that passes on to it.
-func (c *Client) openPlain() (net.Conn, error) {
+// dialPlain connects to the address, directly or through the relay.
+func (c *Client) dialPlain() (net.Conn, error) {
 	d := tcp.Dialer(dialTimeout)
-	if c.From != nil {
-		d.LocalAddr = &net.TCPAddr{IP: c.From}
+	if c.LocalIP != nil {
+		d.LocalAddr = &net.TCPAddr{IP: c.LocalIP}
 	}
-	if c.Relay == "" {
+	if c.RelayAddress == "" {
 		return tcp.DialHedged(context.Background(), d, c.Address)
 	}
-	conn, err := tcp.DialHedged(context.Background(), d, c.Relay)
+	conn, err := tcp.DialHedged(context.Background(), d, c.RelayAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -239,8 +241,9 @@
 	return conn, nil
 }
 
-// secure puts TLS on a connection, with the name of the address.
-func (c *Client) secure(conn net.Conn) (net.Conn, error) {
+// startTLS performs the TLS handshake on a connection. Unless the configuration has a server
+// name, it uses the host of the address.
+func (c *Client) startTLS(conn net.Conn) (net.Conn, error) {
 	config := c.TLS
 	if config.ServerName == "" && !config.InsecureSkipVerify {
 		host, _, err := net.SplitHostPort(c.Address)
@@ -251,68 +254,68 @@
 		config = config.Clone()
 		config.ServerName = host
 	}
-	t := tls.Client(conn, config)
+	tc := tls.Client(conn, config)
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
-	if err := t.HandshakeContext(ctx); err != nil {
+	if err := tc.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return t, nil
+	return tc, nil
 }
 
-// Close ends the connection; a later call dials again.
+// Close closes the connection; a later call dials again.
 func (c *Client) Close() {
 	c.mu.Lock()
 	conn := c.conn
 	c.conn = nil
 	c.mu.Unlock()
-	conn.end()
+	conn.shutDown()
 }
 
-// Pool shares clients by address.
+// Pool shares clients by address and relay.
 type Pool struct {
 	TLS  *tls.Config
 	From net.IP
 
 	mu      sync.Mutex // guards clients
-	clients map[way]*Client
+	clients map[path]*Client
 }
 
-// Get returns the client of an address.
+// Get returns the client of an address that is reached directly.
 func (p *Pool) Get(address string) *Client { return p.GetThrough("", address) }
 
-// GetThrough returns the client of an address that is connected to through a
-// relay; an empty relay means directly.
+// GetVia returns the client of an address that is reached through a relay; an empty
+// relay means a direct connection.
 func (p *Pool) GetThrough(relay, address string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.clients == nil {
-		p.clients = make(map[way]*Client)
+		p.clients = make(map[path]*Client)
 	}
-	w := way{relay, address}
-	c := p.clients[w]
+	k := path{relay, address}
+	c := p.clients[k]
 	if c == nil {
-		c = &Client{Address: address, TLS: p.TLS, From: p.From, Relay: relay}
-		p.clients[w] = c
+		c = &Client{Address: address, TLS: p.TLS, LocalIP: p.From, RelayAddress: relay}
+		p.clients[k] = c
 	}
 	return c
 }
 
-// Tidy ends connections that nobody has used for long; a later call dials again. It is to be called
-// now and then: with many others that are called seldom, each by chance, a process would come to
-// hold a connection to every one of them.
+// CloseIdle closes the connections that have been idle for longer than idleTimeout; a later
+// call dials again. It must be called periodically: a process that rarely calls each of many
+// peers at random would otherwise end up with an open connection to every one of them.
 func (p *Pool) Tidy(now time.Time) {
 	p.mu.Lock()
 	clients := slices.Collect(maps.Values(p.clients))
 	p.mu.Unlock()
 	for _, c := range clients {
-		c.tidy(now)
+		c.closeIfIdle(now)
 	}
 }
 
-// Open returns how many connections are open.
-func (p *Pool) Open() int {
+// OpenConnections returns the number of open connections.
+func (p *Pool) OpenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -326,10 +329,10 @@
 	return n
 }
 
-// way is how an address is reached.
-type way struct{ relay, address string }
+// path is an address and the relay through which it is reached; an empty relay means directly.
+type path struct{ relay, address string }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -13,20 +13,20 @@
 	"sumachead/api/wire"
 )
 
-// echo is a service of tests.
+// echo is a service for tests.
 type echo struct{}
 
-// Answer answers with the same.
+// Answer replies with the boot id of the request.
 func (echo) Answer(r *wire.HelloReply, reply *wire.HelloReply) error {
 	reply.Boot = r.GetBoot()
 	return nil
 }
 
-// Refuse answers with an error.
+// Refuse returns an error.
 func (echo) Refuse(*wire.HelloReply, *wire.HelloReply) error { return errors.New("refused on purpose") }
 
-// serveEcho starts a server at an address, any if it is empty, and returns where it is and
-// what ends it.
+// serveEcho starts a server at address, or at a free one if address is empty. It returns the
+// address and a function that stops the server.
 func serveEcho(t *testing.T, address string) (string, func()) {
 	t.Helper()
 	if address == "" {
@@ -44,7 +44,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = s.Run() // ends by Close
+		_ = s.Run() // ended by Close
 	}()
 	return address, func() {
 		s.Close()
@@ -52,7 +52,7 @@
 	}
 }
 
-// listen returns a listener that accepts nothing by itself, and its address.
+// listen returns a listener, on which the caller accepts connections, and its address.
 func listen(t *testing.T) (net.Listener, string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,8 +63,9 @@
 	return lis, lis.Addr().String()
 }
 
-// closing returns an address where a connection is closed once something was read.
-func closing(t *testing.T) string {
+// listenAndClose returns an address at which the first connection is closed after a byte
+// was read.
+func listenAndClose(t *testing.T) string {
 	lis, address := listen(t)
 	go func() {
 		if c, err := lis.Accept(); err == nil {
@@ -75,16 +76,16 @@
 	return address
 }
 
-// What a failed call says decides whether a request may have run.
-func TestWhatAFailedCallSays(t *testing.T) {
+// Checks the errors of failed calls. Callers derive from them whether a request may have run.
+func TestCallErrors(t *testing.T) {
 	served, stop := serveEcho(t, "")
 	defer stop()
-	nobody, end := serveEcho(t, "")
+	unused, end := serveEcho(t, "")
 	end()
-	_, mute := listen(t)
+	_, unresponsive := listen(t)
 	type outcome struct {
-		NotSent, Refused, TimeUp, Failed bool
-		Says                             string
+		NotSent, Refused, TimedOut, Failed bool
+		Message                            string
 	}
 	tests := []struct {
 		name    string
@@ -92,12 +93,12 @@
 		method  string
 		want    outcome
 	}{
-		{"answered", served, "Echo.Answer", outcome{}},
-		{"answered with an error", served, "Echo.Refuse", outcome{Failed: true, Says: "refused on purpose"}},
-		{"no such method", served, "Echo.None", outcome{Failed: true, Says: "can't find"}},
-		{"nobody listens", nobody, "Echo.Answer", outcome{NotSent: true, Refused: true, Failed: true}},
-		{"closed after it was read", closing(t), "Echo.Answer", outcome{Failed: true}},
-		{"no answer in time", mute, "Echo.Answer", outcome{TimeUp: true, Failed: true}},
+		{"successful", served, "Echo.Answer", outcome{}},
+		{"error reply", served, "Echo.Refuse", outcome{Failed: true, Message: "refused on purpose"}},
+		{"unknown method", served, "Echo.None", outcome{Failed: true, Message: "can't find"}},
+		{"no listener", unused, "Echo.Answer", outcome{NotSent: true, Refused: true, Failed: true}},
+		{"connection closed after a byte was read", listenAndClose(t), "Echo.Answer", outcome{Failed: true}},
+		{"no reply before the deadline", unresponsive, "Echo.Answer", outcome{TimedOut: true, Failed: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -106,24 +107,24 @@
 			reply, err := Call[wire.HelloReply](ctx, &Client{Address: tt.address}, tt.method, &wire.HelloReply{Boot: "b"})
 			got := outcome{
 				NotSent: errors.Is(err, ErrNotSent), Refused: IsRefused(err),
-				TimeUp: errors.Is(err, context.DeadlineExceeded), Failed: err != nil,
+				TimedOut: errors.Is(err, context.DeadlineExceeded), Failed: err != nil,
 			}
-			if err != nil && strings.Contains(err.Error(), tt.want.Says) {
-				got.Says = tt.want.Says
+			if err != nil && strings.Contains(err.Error(), tt.want.Message) {
+				got.Message = tt.want.Message
 			}
 			if diff := cmp.Diff(tt.want, got); diff != "" {
 				t.Errorf("%v (-want +got):\n%s", err, diff)
 			}
 			if err == nil && reply.GetBoot() != "b" {
-				t.Errorf("answered %q", reply.GetBoot())
+				t.Errorf("replied %q", reply.GetBoot())
 			}
 		})
 	}
 }
 
-// A server that has restarted is reached by the next call: a connection that it closed
-// before is no failure of the call.
-func TestRestartedServerIsCalledAgain(t *testing.T) {
+// Checks that the next call reaches a restarted server. The connection that the server
+// closed on its shutdown must not make the call fail.
+func TestCallReconnectsToRestartedServer(t *testing.T) {
 	address, stop := serveEcho(t, "")
 	c := &Client{Address: address}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -136,14 +137,14 @@
 		t.Fatal(err)
 	}
 	stop()
-	time.Sleep(2 * redialAfter) // the client reads that the connection has ended
+	time.Sleep(2 * redialInterval) // the client has read the end of the connection by then
 	if err := call(); !errors.Is(err, ErrNotSent) {
-		t.Fatalf("a server that is down: %v, want a call that was not sent", err)
+		t.Fatalf("call to a stopped server: %v, want ErrNotSent", err)
 	}
 	_, stop = serveEcho(t, address)
 	defer stop()
-	time.Sleep(2 * redialAfter)
+	time.Sleep(2 * redialInterval)
 	if err := call(); err != nil {
-		t.Fatalf("a server that is back: %v", err)
+		t.Fatalf("call to a restarted server: %v", err)
 	}
 }
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -1,11 +1,11 @@
-// Package rpc carries calls between the processes of sumachead: net/rpc with
-// a thin codec of length-delimited protobuf messages.
+// Package rpc implements calls between the processes of sumachead. It uses net/rpc with
+// a codec of length-delimited protobuf messages.
 //
 // [Server] accepts connections and serves registered receivers. [Client] keeps
 // one connection to an address, dials again after a failure, and ends a call
-// when its context does. A [Pool] shares clients by address. A [Relay] passes
-// connections on between processes that can't reach each other. [Traffic] counts
-// what is sent, by method.
+// when its context is done. A [Pool] shares clients by address. A [Relay] forwards
+// connections between processes that cannot reach each other directly.
+// [TrafficCollector] exports the number of bytes sent by method.
 package rpc
 
 import (
@@ -22,16 +22,16 @@
 	"sumachead/api/wire"
 )
 
-// maxMessageBytes bounds one message; a snapshot of a group must fit.
+// maxMessageBytes is the maximum size of one message; a snapshot of a group must fit.
 const maxMessageBytes = 1 << 30
 
-// writeTimeout ends a connection whose other end takes nothing in.
+// writeTimeout is how long a write may block before its connection fails.
 const writeTimeout = 3 * time.Second
 
 var unmarshal = protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 
-// stream is the framing that both ends share.
-type stream struct {
+// framedConn is a connection with the message framing that client and server share.
+type framedConn struct {
 	conn net.Conn
 	r    *bufio.Reader
 
@@ -39,12 +39,12 @@
 	w  *bufio.Writer
 }
 
-func newStream(conn net.Conn) *stream {
-	return &stream{conn: conn, r: bufio.NewReader(conn), w: bufio.NewWriter(conn)}
+func newFramedConn(conn net.Conn) *framedConn {
+	return &framedConn{conn: conn, r: bufio.NewReader(conn), w: bufio.NewWriter(conn)}
 }
 
-// send writes a header and a body as one unit.
-func (s *stream) send(method string, header proto.Message, body any) error {
+// send writes a header and a body without interleaving other messages.
+func (s *framedConn) send(method string, header proto.Message, body any) error {
 	m, ok := body.(proto.Message)
 	if !ok {
 		m = &wire.Empty{}
@@ -54,7 +54,7 @@
 	if err := s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return trace.Wrap(err)
 	}
-	head, err := protodelim.MarshalTo(s.w, header)
+	h, err := protodelim.MarshalTo(s.w, header)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -62,12 +62,12 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	noteSent(method, head+n)
+	countSent(method, h+n)
 	return trace.Wrap(s.w.Flush())
 }
 
-// body reads the message that follows a header; a nil one is skipped.
-func (s *stream) body(body any) error {
+// readBody reads the message that follows a header; a nil body skips it.
+func (s *framedConn) readBody(body any) error {
 	m, ok := body.(proto.Message)
 	if !ok {
 		m = &wire.Empty{}
@@ -75,9 +75,9 @@
 	return unmarshal.UnmarshalFrom(s.r, m)
 }
 
-func (s *stream) Close() error { return s.conn.Close() }
+func (s *framedConn) Close() error { return s.conn.Close() }
 
-type serverCodec struct{ *stream }
+type serverCodec struct{ *framedConn }
 
 // ReadRequestHeader implements net/rpc.ServerCodec.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
@@ -91,14 +91,14 @@
 }
 
 // ReadRequestBody implements net/rpc.ServerCodec.
-func (c *serverCodec) ReadRequestBody(body any) error { return c.body(body) }
+func (c *serverCodec) ReadRequestBody(body any) error { return c.readBody(body) }
 
 // WriteResponse implements net/rpc.ServerCodec.
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
 	return c.send(r.ServiceMethod, &wire.ReplyHeader{Method: r.ServiceMethod, Seq: r.Seq, Error: r.Error}, body)
 }
 
-type clientCodec struct{ *stream }
+type clientCodec struct{ *framedConn }
 
 // WriteRequest implements net/rpc.ClientCodec.
 func (c *clientCodec) WriteRequest(r *rpc.Request, body any) error {
@@ -118,4 +118,4 @@
 }
 
 // ReadResponseBody implements net/rpc.ClientCodec.
-func (c *clientCodec) ReadResponseBody(body any) error { return c.body(body) }
+func (c *clientCodec) ReadResponseBody(body any) error { return c.readBody(body) }
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -10,29 +10,30 @@
 	"sumachead/api/wire"
 )
 
-// slow is a service that answers late.
+// slow is a service whose replies the test delays.
 type slow struct{ release chan struct{} }
 
-// Answer answers once it is released.
+// Answer replies once release is closed.
 func (s *slow) Answer(*wire.Empty, *wire.Empty) error {
 	<-s.release
 	return nil
 }
 
-// A process that calls many others, each of them seldom, holds connections to the few that it has
-// called lately; one under which a call runs stays, and the next call after the end works.
-func TestConnectionsThatRestEnd(t *testing.T) {
-	const others = 40
+// Checks that a process that rarely calls each of many peers keeps connections only to those
+// that it called recently. A connection with a call in flight stays open, and a call after the
+// connection was closed dials again.
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	const peers = 40
 	p := &Pool{}
 	defer p.Close()
 	var addresses []string
-	for range others {
+	for range peers {
 		address, stop := serveEcho(t, "")
 		defer stop()
 		addresses = append(addresses, address)
 	}
 	busy := &slow{release: make(chan struct{})}
-	s := &Server{Address: freeAddressOf(t)}
+	s := &Server{Address: freeAddress(t)}
 	if err := s.Register("Slow", busy); err != nil {
 		t.Fatal(err)
 	}
@@ -40,46 +41,46 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	go func() { _ = s.Run() }() // ends by Close
-	var late sync.WaitGroup
-	late.Go(func() {
+	go func() { _ = s.Run() }() // ended by Close
+	var inFlight sync.WaitGroup
+	inFlight.Go(func() {
 		if _, err := Call[wire.Empty](context.Background(), p.Get(s.Address), "Slow.Answer", &wire.Empty{}); err != nil {
-			t.Errorf("the call that was under way: %v", err)
+			t.Errorf("the call in flight: %v", err)
 		}
 	})
-	ask := func(address string) error {
+	call := func(address string) error {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_, err := Call[wire.HelloReply](ctx, p.Get(address), "Echo.Answer", &wire.HelloReply{})
 		return err
 	}
 	for _, a := range addresses {
-		if err := ask(a); err != nil {
+		if err := call(a); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := p.Open(); n != others+1 {
-		t.Fatalf("%d connections, want %d", n, others+1)
+	if n := p.OpenConnections(); n != peers+1 {
+		t.Fatalf("%d connections, want %d", n, peers+1)
 	}
 	p.Tidy(time.Now())
-	if n := p.Open(); n != others+1 {
-		t.Errorf("%d connections are left of %d that were used just now", n, others+1)
+	if n := p.OpenConnections(); n != peers+1 {
+		t.Errorf("%d connections are left of %d that were just used", n, peers+1)
 	}
-	p.Tidy(time.Now().Add(idleFor + time.Second))
-	if n := p.Open(); n != 1 {
-		t.Errorf("%d connections are left, one has a call under way", n)
+	p.Tidy(time.Now().Add(idleTimeout + time.Second))
+	if n := p.OpenConnections(); n != 1 {
+		t.Errorf("%d connections are left, want the one with a call in flight", n)
 	}
 	for _, a := range addresses {
-		if err := ask(a); err != nil {
-			t.Errorf("after a rest: %v", err)
+		if err := call(a); err != nil {
+			t.Errorf("call after the idle timeout: %v", err)
 		}
 	}
 	close(busy.release)
-	late.Wait()
+	inFlight.Wait()
 }
 
-// Calls that begin while connections are tidied are not lost.
-func TestTidyingLosesNoCall(t *testing.T) {
+// Checks that no call fails that starts while idle connections are being closed.
+func TestCloseIdleLosesNoCall(t *testing.T) {
 	address, stop := serveEcho(t, "")
 	defer stop()
 	p := &Pool{}
@@ -105,8 +106,8 @@
 	all.Wait()
 }
 
-// freeAddressOf returns an address where nobody listens.
-func freeAddressOf(t *testing.T) string {
+// freeAddress returns an address without a listener.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	lis, address := listen(t)
 	_ = lis.Close()
--- a/internal/rpc/relay.go
+++ b/internal/rpc/relay.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxTarget bounds the line that names where a relayed connection goes.
-	maxTarget = 64
-	// relayIdle ends a relayed connection on which nothing has moved: some
-	// holds of the questions that go over it.
-	relayIdle = 20 * time.Second
+	// maxTargetBytes is the maximum length of the line with the target of a relayed connection.
+	maxTargetBytes = 64
+	// relayIdleTimeout is how long a relayed connection without traffic stays open: several
+	// times the wait of the long polls that go through it.
+	relayIdleTimeout = 20 * time.Second
 )
 
-// requestRelay tells a relay where to pass a new connection on to.
+// requestRelay sends a relay the target of a new connection.
 func requestRelay(conn net.Conn, target string) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return trace.Wrap(err)
@@ -31,21 +31,21 @@
 	return trace.Wrap(err)
 }
 
-// Relay passes connections of one process on to others: a second way for those
-// that can't reach each other. Set the exported fields before Run.
+// Relay forwards connections to other processes. It provides an indirect path between
+// processes that cannot reach each other. Set the exported fields before Run.
 type Relay struct {
 	// Address is host:port.
 	Address string
-	// Allowed reports whether connections may be passed on to an address.
+	// Allowed reports whether connections to target may be forwarded.
 	Allowed func(target string) bool
-	// MaxConns bounds the connections passed on at a time.
+	// MaxConns is the maximum number of connections forwarded concurrently.
 	MaxConns int
 
-	// slots has room for as many connections as may be passed on.
+	// slots is a semaphore of MaxConns forwarded connections.
 	slots chan struct{}
 }
 
-// Run passes connections on until ctx ends.
+// Run forwards connections until ctx is done.
 func (r *Relay) Run(ctx context.Context) error {
 	lis, err := tcp.ListenConfig().Listen(ctx, "tcp", r.Address)
 	if err != nil {
@@ -64,20 +64,20 @@
 		}
 		select {
 		case r.slots <- struct{}{}:
-			go r.pass(ctx, conn)
+			go r.forward(ctx, conn)
 		default:
 			_ = conn.Close()
 		}
 	}
 }
 
-// pass reads where a connection is to go, and copies bytes both ways until it
-// ends.
-func (r *Relay) pass(ctx context.Context, conn net.Conn) {
+// forward reads the target of a connection and copies bytes in both directions until
+// either side closes.
+func (r *Relay) forward(ctx context.Context, conn net.Conn) {
 	defer func() { <-r.slots }()
 	defer func() { _ = conn.Close() }()
-	in := bufio.NewReaderSize(conn, maxTarget)
-	_ = conn.SetReadDeadline(time.Now().Add(handshakeTimeout)) // the read below tells
+	in := bufio.NewReaderSize(conn, maxTargetBytes)
+	_ = conn.SetReadDeadline(time.Now().Add(handshakeTimeout)) // the read below fails if this does
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return
@@ -102,13 +102,13 @@
 	both.Wait()
 }
 
-// copyBytes copies from src, which reads from conn, until either side ends.
+// copyBytes copies from src, which reads from conn, to dst until either side closes.
 func copyBytes(dst net.Conn, src io.Reader, conn net.Conn) {
 	defer func() { _ = dst.Close() }()
 	const size = 4 << 10
 	buf := make([]byte, size)
 	for {
-		if conn.SetReadDeadline(time.Now().Add(relayIdle)) != nil {
+		if conn.SetReadDeadline(time.Now().Add(relayIdleTimeout)) != nil {
 			return
 		}
 		n, err := src.Read(buf)
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -17,23 +17,23 @@
 type Server struct {
 	// Address is host:port.
 	Address string
-	// TLS is nil for plain connections.
+	// TLS is the TLS configuration; nil means plaintext connections.
 	TLS *tls.Config
 
-	inner rpc.Server
-	lis   net.Listener
+	rpcServer rpc.Server
+	listener  net.Listener
 
 	mu     sync.Mutex // guards conns and closed
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-// Register adds the exported methods of receiver under name.
+// Register registers the exported methods of receiver under name.
 func (s *Server) Register(name string, receiver any) error {
-	return trace.Wrap(s.inner.RegisterName(name, receiver))
+	return trace.Wrap(s.rpcServer.RegisterName(name, receiver))
 }
 
-// Listen binds the address, so that a clash is an error before Run.
+// Listen binds the address, so that an address in use is reported before Run.
 func (s *Server) Listen() error {
 	lis, err := tcp.ListenConfig().Listen(context.Background(), "tcp", s.Address)
 	if err != nil {
@@ -42,15 +42,15 @@
 	if s.TLS != nil {
 		lis = tls.NewListener(lis, s.TLS)
 	}
-	s.lis = lis
+	s.listener = lis
 	s.conns = make(map[net.Conn]struct{})
 	return nil
 }
 
-// Run accepts connections until Close.
+// Run accepts and serves connections until Close is called.
 func (s *Server) Run() error {
 	for {
-		conn, err := s.lis.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			s.mu.Lock()
 			closed := s.closed
@@ -65,7 +65,7 @@
 		}
 		go func() {
 			defer s.untrack(conn)
-			s.inner.ServeCodec(&serverCodec{newStream(conn)})
+			s.rpcServer.ServeCodec(&serverCodec{newFramedConn(conn)})
 		}()
 	}
 }
@@ -87,7 +87,7 @@
 	delete(s.conns, conn)
 }
 
-// Close stops accepting and ends the open connections.
+// Close stops accepting connections and closes the open ones.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,8 +95,8 @@
 		return
 	}
 	s.closed = true
-	if s.lis != nil {
-		_ = s.lis.Close()
+	if s.listener != nil {
+		_ = s.listener.Close()
 	}
 	for c := range s.conns {
 		_ = c.Close()
