--- a/internal/raft/change_test.go
+++ b/internal/raft/change_test.go
@@ -13,7 +13,7 @@
 func TestWithLearner(t *testing.T) {
 	a := &wire.Member{Id: "a", Incarnation: "1", Address: "host-a:1"}
 	b := &wire.Member{Id: "b", Incarnation: "1", Address: "host-b:1"}
-	replaced := &wire.Member{Id: "a", Incarnation: "2", Address: "host-a:2"}
+	replacement := &wire.Member{Id: "a", Incarnation: "2", Address: "host-a:2"}
 	learner := &wire.Member{Id: "a", Incarnation: "2", Address: "host-a:2", Learner: true}
 	for _, c := range []struct {
 		name string
@@ -21,10 +21,10 @@
 		m    *wire.Member
 		want *wire.Members
 	}{
-		{"a new member", []*wire.Member{b}, replaced, &wire.Members{Members: []*wire.Member{b, learner}}},
-		{"a new incarnation of a voter", []*wire.Member{a, b}, replaced, &wire.Members{Members: []*wire.Member{b, learner}}},
+		{"a new member", []*wire.Member{b}, replacement, &wire.Members{Members: []*wire.Member{b, learner}}},
+		{"a new incarnation of a voter", []*wire.Member{a, b}, replacement, &wire.Members{Members: []*wire.Member{b, learner}}},
 		{"an existing member", []*wire.Member{a, b}, a, nil},
-		{"an existing learner", []*wire.Member{b, learner}, replaced, nil},
+		{"an existing learner", []*wire.Member{b, learner}, replacement, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ms := &wire.Members{Members: c.ms}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestWithout(t *testing.T) {
+func TestWithoutMember(t *testing.T) {
 	a, b := &wire.Member{Id: "a", Incarnation: "1"}, &wire.Member{Id: "b", Incarnation: "1"}
 	ms := &wire.Members{Members: []*wire.Member{a, b}}
 	for _, c := range []struct {
--- a/internal/raft/core_test.go
+++ b/internal/raft/core_test.go
@@ -419,7 +419,7 @@
 	members := &wire.Members{Members: []*wire.Member{
 		{Id: "k0", Incarnation: "0"}, {Id: "k1", Incarnation: "0"}, {Id: "k2", Incarnation: "0"},
 	}}
-	replaced := NewCore(Config{Group: "g", ID: "k2", Incarnation: "1", HeartbeatInterval: testHeartbeatInterval, ElectionTimeout: testElectionTimeout, Rand: func(int64) int64 { return 0 }},
+	replacement := NewCore(Config{Group: "g", ID: "k2", Incarnation: "1", HeartbeatInterval: testHeartbeatInterval, ElectionTimeout: testElectionTimeout, Rand: func(int64) int64 { return 0 }},
 		&wire.HardState{}, &wire.Snapshot{Members: members}, nil, 0)
 	tests := []struct {
 		name string
@@ -432,16 +432,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			tt.m.Group, tt.m.From, tt.m.FromIncarnation, tt.m.To = "g", "k0", "0", "k2"
-			replaced.Step(10*testElectionTimeout, tt.m)
-			for _, r := range replaced.Ready().MessagesAfterSync {
+			replacement.Step(10*testElectionTimeout, tt.m)
+			for _, r := range replacement.Ready().MessagesAfterSync {
 				if !r.GetReject() {
 					t.Errorf("granted: %v", r)
 				}
 			}
 		})
 	}
-	replaced.Tick(100 * testElectionTimeout)
-	if replaced.role != Follower {
-		t.Errorf("campaigns although it is not a voter: role %v", replaced.role)
+	replacement.Tick(100 * testElectionTimeout)
+	if replacement.role != Follower {
+		t.Errorf("campaigns although it is not a voter: role %v", replacement.role)
 	}
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -25,7 +25,7 @@
 	queueSize                = 4096
 )
 
-// ErrUncertain means that a command may or may not take effect.
+// ErrUncertain means that a command may have taken effect or may still do so.
 var ErrUncertain = errors.New("outcome of the command is not known")
 
 // ErrStopped means that the node has stopped.
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -49,8 +49,10 @@
 	}
 }
 
-// acceptable reports whether a message belongs to this group and neither its sender nor its
-// recipient is an outdated incarnation.
+// acceptable reports whether a message belongs to this group, is addressed to this incarnation,
+// and comes from the incarnation in this member's configuration. The last condition does not
+// apply to messages that only a leader sends and to vote requests from members whose log is
+// ahead, since they may know a later configuration.
 func (c *Core) acceptable(m *wire.RaftMessage) bool {
 	if m.GetGroup() != c.cfg.Group || m.GetTo() != c.cfg.ID {
 		return false
@@ -62,8 +64,8 @@
 	return from == nil || from.GetIncarnation() == m.GetFromIncarnation() || fromLeader(m) || c.isVoteRequestFromAhead(m)
 }
 
-// isVoteRequestFromAhead reports whether a message requests a vote or pre-vote for a member
-// whose log is ahead of this one's.
+// isVoteRequestFromAhead reports whether a message requests a vote or pre-vote and comes from
+// a member whose log is ahead of this one's.
 func (c *Core) isVoteRequestFromAhead(m *wire.RaftMessage) bool {
 	k := m.GetKind()
 	return (k == wire.RaftKind_RAFT_KIND_PRE_VOTE || k == wire.RaftKind_RAFT_KIND_VOTE) && c.isBehind(m)
