--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	pool := &rpc.Pool{TLS: files.Client(), From: net.ParseIP(c.DialFrom)}
+	pool := &rpc.Pool{TLS: files.Client(), LocalIP: net.ParseIP(c.DialFrom)}
 	defer pool.Close()
 	server := &rpc.Server{Address: c.RPC, TLS: files.Server()}
 	switch c.Role {
--- a/internal/fleet/alive.go
+++ b/internal/fleet/alive.go
@@ -93,7 +93,7 @@
 	if err := k.servers.Validate(r); err != nil {
 		return err
 	}
-	if r.GetState() == wire.ServerState_SERVER_STATE_READY && !k.node.Leading() && k.hasLeaderContact() {
+	if r.GetState() == wire.ServerState_SERVER_STATE_READY && !k.node.IsLeader() && k.hasLeaderContact() {
 		if k.copyFresh() && k.servers.Refresh(r, time.Now()) {
 			k.heartbeats.add(r)
 		} else {
@@ -165,7 +165,7 @@
 
 // Alive receives a batch of heartbeats from another keeper.
 func (s *service) Alive(r *wire.AliveReport, _ *wire.Empty) error {
-	if !s.keeper.node.Leading() {
+	if !s.keeper.node.IsLeader() {
 		return s.keeper.requireLeadership()
 	}
 	s.keeper.applyHeartbeats(r)
--- a/internal/fleet/alive_test.go
+++ b/internal/fleet/alive_test.go
@@ -17,7 +17,7 @@
 		for _, m := range c.members {
 			switch {
 			case m == nil:
-			case m.node.Leading():
+			case m.node.IsLeader():
 				leader = m
 			case m.copyFresh():
 				follower = m
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -97,7 +97,7 @@
 // keeper leads.
 func (k *Keeper) sweepLoop(ctx context.Context) error {
 	return loop.Every(ctx, sweepInterval, func() {
-		if k.node.Leading() && k.requireLeadership() == nil {
+		if k.node.IsLeader() && k.requireLeadership() == nil {
 			k.servers.StartLeading(k.history(), time.Now())
 			k.servers.Sweep(time.Now())
 			k.expireSuspects(time.Now())
@@ -139,10 +139,10 @@
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	reply, err := rpc.Call[wire.FollowReply](ctx, k.Pool.Get(leader), "Fleet.Follow", r)
-	if rpc.IsRefused(err) {
-		k.node.PeerRefused(leader)
+	if rpc.IsConnectionRefused(err) {
+		k.node.ReportConnectionRefused(leader)
 	}
-	if err != nil || k.node.Leading() {
+	if err != nil || k.node.IsLeader() {
 		return false
 	}
 	k.servers.Apply(reply, time.Now())
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -121,7 +121,7 @@
 	c.t.Helper()
 	c.eventually(fmt.Sprint(n, " voters"), func() bool {
 		for _, m := range c.members {
-			if m != nil && m.node.Leading() {
+			if m != nil && m.node.IsLeader() {
 				return countVoters(m.node.Status().GetMembers()) == n
 			}
 		}
@@ -254,7 +254,7 @@
 	leaving.State, leaving.Sequence = wire.ServerState_SERVER_STATE_LEAVING, 2
 	beat(1, leaving)
 	for i, m := range c.members {
-		if m.node.Leading() {
+		if m.node.IsLeader() {
 			c.halt(i)
 			break
 		}
@@ -268,7 +268,7 @@
 	}
 	c.eventually("a leader without the server", func() bool {
 		for _, m := range c.members {
-			if m != nil && m.node.Leading() {
+			if m != nil && m.node.IsLeader() {
 				return len(m.servers.Servers("pool", nil)) == 0
 			}
 		}
@@ -400,7 +400,7 @@
 	c.start(1, false)
 	c.eventually("the keeper with the new incarnation votes", func() bool {
 		for i, m := range c.members {
-			if !m.node.Leading() {
+			if !m.node.IsLeader() {
 				continue
 			}
 			if i < seeds {
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -101,16 +101,16 @@
 	k.machine = NewStateMachine()
 	k.machine.rollouts.StartReplay()
 	k.machine.OnLeaving = func(id string) { k.servers.MarkLeaving(id, time.Now()) }
-	t := newTransport(ctx, k.Pool, func(address string) { k.node.PeerRefused(address) })
+	t := newTransport(ctx, k.Pool, func(address string) { k.node.ReportConnectionRefused(address) })
 	k.node = &raft.Node{
 		Group: Group, ID: k.Address, Incarnation: k.identity.GetIncarnation(),
 		Dir: filepath.Join(k.DataDir, "group"), Machine: k.machine, Send: t.send,
-		Founders: k.identity.GetFounders(), Heartbeat: heartbeatInterval, Election: electionTimeout,
-		SnapshotEvery: entriesPerSnapshot, Log: k.Log.Named("group"),
+		Founders: k.identity.GetFounders(), HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout,
+		SnapshotThreshold: entriesPerSnapshot, Log: k.Log.Named("group"),
 	}
 	k.metrics = newMetrics(k)
 	k.metrics.Registry.MustRegister(k.Collectors...)
-	k.node.Synced = func(d time.Duration) { k.metrics.syncs.Observe(d.Seconds()) }
+	k.node.ObserveSync = func(d time.Duration) { k.metrics.syncs.Observe(d.Seconds()) }
 	if err := k.node.Open(); err != nil {
 		return err
 	}
@@ -154,5 +154,5 @@
 func (k *Keeper) transferLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
-	k.node.HandOver(ctx)
+	k.node.ResignLeadership(ctx)
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -105,11 +105,11 @@
 func (k *Keeper) membersLoop(ctx context.Context) error {
 	silentSince := make(map[string]time.Time)
 	return loop.Every(ctx, memberCheckInterval, func() {
-		if !k.node.Leading() {
+		if !k.node.IsLeader() {
 			clear(silentSince)
 			return
 		}
-		active, err := k.node.PeersActive(ctx)
+		active, err := k.node.ActivePeers(ctx)
 		if err != nil {
 			return
 		}
@@ -182,6 +182,6 @@
 
 // remove removes a member from the group.
 func (k *Keeper) remove(ctx context.Context, id string) {
-	started, err := k.node.ChangeMembers(ctx, func(ms *wire.Members) *wire.Members { return raft.Without(ms, id) })
+	started, err := k.node.ChangeMembers(ctx, func(ms *wire.Members) *wire.Members { return raft.WithoutMember(ms, id) })
 	k.Log.Info("Removing a silent keeper from the group.", "keeper", id, "started", started, "error", err)
 }
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -33,12 +33,12 @@
 		Name: "sumachead_foreign_records_total", Help: "Invalid heartbeats and notices: fields are missing or of the wrong type, or the start time is missing where it is required.",
 	})
 	m.Registry.MustRegister(m.syncs, m.commits, m.invalidRecords)
-	m.Registry.MustRegister(rpc.Traffic{})
+	m.Registry.MustRegister(rpc.TrafficCollector{})
 	gauge := func(name, help string, f func() float64) {
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, f))
 	}
 	gauge("sumachead_keeper_leading", "1 if this keeper is the leader, else 0.", func() float64 {
-		if k.node.Leading() {
+		if k.node.IsLeader() {
 			return 1
 		}
 		return 0
--- a/internal/fleet/reports.go
+++ b/internal/fleet/reports.go
@@ -37,7 +37,7 @@
 // Report records what a holder of escrow has spent, and grants what it should have.
 func (s *service) Report(r *wire.EscrowReport, reply *wire.EscrowReply) error {
 	k := s.keeper
-	if !k.node.Leading() {
+	if !k.node.IsLeader() {
 		return k.requireLeadership()
 	}
 	p := &pendingReport{r, make(chan reportResult, 1)}
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -204,7 +204,7 @@
 // rolloutsLoop drives the rollouts while this keeper leads.
 func (k *Keeper) rolloutsLoop(ctx context.Context) error {
 	return loop.Every(ctx, rolloutCheckInterval, func() {
-		if !k.node.Leading() || k.machine.RolloutsRevision() == 0 || k.requireLeadership() != nil {
+		if !k.node.IsLeader() || k.machine.RolloutsRevision() == 0 || k.requireLeadership() != nil {
 			return
 		}
 		for _, c := range k.rolloutCommands() {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -163,7 +163,7 @@
 		err = k.requireLeadership()
 	}
 	// A new leader has no lease until its first heartbeats are acknowledged.
-	for err != nil && k.node.Leading() && ctx.Err() == nil {
+	for err != nil && k.node.IsLeader() && ctx.Err() == nil {
 		time.Sleep(leasePollInterval)
 		err = k.requireLeadership()
 	}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -96,7 +96,7 @@
 	ctx, cancel := context.WithTimeout(t.ctx, sendTimeout)
 	defer cancel()
 	if _, err := rpc.Call[wire.Empty](ctx, t.pool.Get(address), "Raft.Step", batch); err != nil {
-		if rpc.IsRefused(err) {
+		if rpc.IsConnectionRefused(err) {
 			t.onRefused(address)
 		}
 		for len(q) > 0 {
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -205,7 +205,7 @@
 }
 
 // connection returns the connection to a keeper over a path.
-func (c *Client) connection(w Path) *rpc.Client { return c.Pool.GetThrough(w.Relay, w.Address) }
+func (c *Client) connection(w Path) *rpc.Client { return c.Pool.GetVia(w.Relay, w.Address) }
 
 // sendFollow sends a follow request to the keeper at the end of a path.
 func (c *Client) sendFollow(ctx context.Context, w Path, r *wire.FollowRequest) (*wire.FollowReply, error) {
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -218,7 +218,7 @@
 	call := func(target string) error {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		_, err := rpc.Call[wire.FollowReply](callCtx, pool.GetThrough(relay.Address, target), "Fleet.Follow", &wire.FollowRequest{})
+		_, err := rpc.Call[wire.FollowReply](callCtx, pool.GetVia(relay.Address, target), "Fleet.Follow", &wire.FollowRequest{})
 		return err
 	}
 	eventually(t, "a call through the relay", func() bool { return call(leader.address) == nil })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -172,7 +172,7 @@
 	tasks.Go(func() error {
 		return loop.Every(work, cleanupInterval, func() {
 			g.upstream.Prune(time.Now())
-			g.Pool.Tidy(time.Now())
+			g.Pool.CloseIdle(time.Now())
 			g.scheduler.Prune(time.Now())
 			g.servers.Prune(time.Now())
 			g.checks.expire(time.Now())
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -118,7 +118,7 @@
 		m.coldGrants.WithLabelValues(granted)
 		m.permits.WithLabelValues(granted)
 	}
-	m.Registry.MustRegister(m.refusals, m.retries, m.outcomes, m.waits, m.served, m.dials, m.firstByte, m.responseTime, m.maxGap, m.ledgerReports, m.coldGrants, m.overloads, m.crashes, m.backoffs, m.withheldSends, m.leavingNotices, m.malformedNotices, m.limitResponses, m.limitedSends, m.permits, m.canaryRequests, m.overdueLoans, rpc.Traffic{})
+	m.Registry.MustRegister(m.refusals, m.retries, m.outcomes, m.waits, m.served, m.dials, m.firstByte, m.responseTime, m.maxGap, m.ledgerReports, m.coldGrants, m.overloads, m.crashes, m.backoffs, m.withheldSends, m.leavingNotices, m.malformedNotices, m.limitResponses, m.limitedSends, m.permits, m.canaryRequests, m.overdueLoans, rpc.TrafficCollector{})
 	m.registerGauges(g)
 	return m
 }
--- a/internal/journal/files.go
+++ b/internal/journal/files.go
@@ -78,7 +78,7 @@
 			return trace.ConvertSystemError(err)
 		}
 	}
-	return wal.SyncFolder(f.dir)
+	return wal.SyncDir(f.dir)
 }
 
 // Run syncs what is written until ctx ends. An error means that the disk has
--- a/internal/keeper/acceptance.go
+++ b/internal/keeper/acceptance.go
@@ -25,7 +25,7 @@
 // contacts reports which halls' keepers are in contact with this leader of the
 // settings group.
 func (k *Keeper) contacts(ctx context.Context) map[sumachead.HallID]bool {
-	active, err := k.settings.node.PeersActive(ctx)
+	active, err := k.settings.node.ActivePeers(ctx)
 	if err != nil {
 		return nil
 	}
--- a/internal/keeper/allotments.go
+++ b/internal/keeper/allotments.go
@@ -23,7 +23,7 @@
 func (k *Keeper) allotLoop(ctx context.Context) error {
 	next := ""
 	return loop.Every(ctx, allotEvery, func() {
-		if !k.money.node.Leading() {
+		if !k.money.node.IsLeader() {
 			return
 		}
 		halls := k.liveHalls(ctx)
@@ -45,7 +45,7 @@
 // liveHalls returns the halls whose holders are in contact, with their
 // incarnations.
 func (k *Keeper) liveHalls(ctx context.Context) map[string]string {
-	active, err := k.money.node.PeersActive(ctx)
+	active, err := k.money.node.ActivePeers(ctx)
 	if err != nil {
 		return nil
 	}
--- a/internal/keeper/controllers.go
+++ b/internal/keeper/controllers.go
@@ -43,7 +43,7 @@
 func (k *Keeper) totalsLoop(ctx context.Context) error {
 	return loop.Every(ctx, totalsEvery, func() {
 		tree, revision, _ := k.machine.Current()
-		if !k.money.node.Leading() || revision <= k.ledger.TotalsRevision() {
+		if !k.money.node.IsLeader() || revision <= k.ledger.TotalsRevision() {
 			return
 		}
 		totals := &wire.SetTotals{Revision: revision}
@@ -61,7 +61,7 @@
 // expiryLoop presumes and forgets entries.
 func (k *Keeper) expiryLoop(ctx context.Context) error {
 	return loop.Every(ctx, expireEvery, func() {
-		if !k.money.node.Leading() {
+		if !k.money.node.IsLeader() {
 			return
 		}
 		now := time.Now()
@@ -115,7 +115,7 @@
 func (k *Keeper) membersLoop(ctx context.Context) error {
 	return loop.Every(ctx, membersEvery, func() {
 		for _, g := range k.groups() {
-			if g.node.Leading() {
+			if g.node.IsLeader() {
 				k.promote(ctx, g)
 			}
 		}
--- a/internal/keeper/group.go
+++ b/internal/keeper/group.go
@@ -77,6 +77,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, g := range k.groups() {
-		g.node.HandOver(ctx)
+		g.node.ResignLeadership(ctx)
 	}
 }
--- a/internal/keeper/halltopups.go
+++ b/internal/keeper/halltopups.go
@@ -14,7 +14,7 @@
 // hallTopupsLoop writes top-ups that halls took while cut off into the tree.
 func (k *Keeper) hallTopupsLoop(ctx context.Context) error {
 	return loop.Every(ctx, topupsEvery, func() {
-		if !k.settings.node.Leading() {
+		if !k.settings.node.IsLeader() {
 			return
 		}
 		for budget, topups := range k.ledger.HallTopups() {
--- a/internal/keeper/settingsservice.go
+++ b/internal/keeper/settingsservice.go
@@ -26,7 +26,7 @@
 // silentAfter is how long a keeper has no leader before it says that it is cut
 // off. A leader notices sooner that it has lost the keeper, and lets no change
 // pass for accepted in the time that nodes then go by the keeper's word.
-const silentAfter = 2 * raft.DefaultElection
+const silentAfter = 2 * raft.DefaultElectionTimeout
 
 // settingsService serves the settings tree to nodes and operators.
 type settingsService struct{ keeper *Keeper }
--- a/internal/keeper/statusservice.go
+++ b/internal/keeper/statusservice.go
@@ -44,7 +44,7 @@
 		return trace.NotFound("no group %q", r.GetGroup())
 	}
 	return s.change(g, func(ms *wire.Members) *wire.Members {
-		next := raft.Without(ms, r.GetKeeper())
+		next := raft.WithoutMember(ms, r.GetKeeper())
 		if len(next.GetMembers()) == len(ms.GetMembers()) || len(next.GetMembers()) == 0 {
 			return nil
 		}
@@ -55,7 +55,7 @@
 func (s *statusService) change(g *group, f func(*wire.Members) *wire.Members) error {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	if !g.node.Leading() {
+	if !g.node.IsLeader() {
 		return keeperclient.EncodeError(&raft.NotLeaderError{Leader: g.node.Status().GetLeader()})
 	}
 	_, err := g.node.ChangeMembers(ctx, f)
--- a/internal/raft/calls.go
+++ b/internal/raft/calls.go
@@ -12,7 +12,7 @@
 func (n *Node) Status() *wire.GroupStatus { return n.status.Load() }
 
 // IsLeader reports whether this member considers itself the leader.
-func (n *Node) Leading() bool { return n.Status().GetLeader() == n.ID }
+func (n *Node) IsLeader() bool { return n.Status().GetLeader() == n.ID }
 
 // Step queues messages from other members. It drops them if the inbox is full, since
 // the sender will resend them.
@@ -25,7 +25,7 @@
 
 // ReportConnectionRefused reports that a member's address refuses connections, as it does
 // after its process has exited. It does not block.
-func (n *Node) PeerRefused(id string) {
+func (n *Node) ReportConnectionRefused(id string) {
 	select {
 	case n.calls <- func() { n.core.ReportConnectionRefused(n.now(), id) }:
 	default: // the election timeout will detect the failure later
@@ -131,11 +131,11 @@
 
 // ActivePeers returns for each peer whether this member, as the leader, received a
 // reply from it within the last election timeout.
-func (n *Node) PeersActive(ctx context.Context) (map[string]bool, error) {
+func (n *Node) ActivePeers(ctx context.Context) (map[string]bool, error) {
 	return call(ctx, n, func() map[string]bool {
 		active := make(map[string]bool)
 		for id, p := range n.core.peers {
-			active[id] = p.heardAt > 0 && n.now()-p.heardAt < n.Election
+			active[id] = p.heardAt > 0 && n.now()-p.heardAt < n.ElectionTimeout
 		}
 		return active
 	})
@@ -150,12 +150,12 @@
 // ResignLeadership transfers leadership to another member, so that the group does
 // not wait for an election timeout after a planned shutdown. It returns once this member is
 // not the leader, no member can take over, or ctx is done.
-func (n *Node) HandOver(ctx context.Context) {
+func (n *Node) ResignLeadership(ctx context.Context) {
 	const pollInterval = 10 * time.Millisecond // a few round trips within a data hall
-	for n.Leading() && ctx.Err() == nil {
+	for n.IsLeader() && ctx.Err() == nil {
 		if ok, err := n.TransferLeadership(ctx); err != nil || !ok {
 			return
 		}
-		loop.Until(ctx, pollInterval, func() bool { return !n.Leading() })
+		loop.Until(ctx, pollInterval, func() bool { return !n.IsLeader() })
 	}
 }
--- a/internal/raft/change.go
+++ b/internal/raft/change.go
@@ -23,7 +23,7 @@
 	if IsMember(ms.GetMembers(), m) {
 		return nil
 	}
-	next := Without(ms, m.GetId())
+	next := WithoutMember(ms, m.GetId())
 	next.Members = append(next.Members, &wire.Member{
 		Id: m.GetId(), Incarnation: m.GetIncarnation(), Address: m.GetAddress(), Learner: true,
 	})
@@ -31,7 +31,7 @@
 }
 
 // WithoutMember returns a copy of ms without the member id, for [Node.ChangeMembers].
-func Without(ms *wire.Members, id string) *wire.Members {
+func WithoutMember(ms *wire.Members, id string) *wire.Members {
 	next := &wire.Members{}
 	for _, m := range ms.GetMembers() {
 		if m.GetId() != id {
--- a/internal/raft/change_test.go
+++ b/internal/raft/change_test.go
@@ -49,7 +49,7 @@
 		{"a", &wire.Members{Members: []*wire.Member{b}}},
 		{"c", &wire.Members{Members: []*wire.Member{a, b}}},
 	} {
-		if d := cmp.Diff(c.want, Without(ms, c.id), protocmp.Transform()); d != "" {
+		if d := cmp.Diff(c.want, WithoutMember(ms, c.id), protocmp.Transform()); d != "" {
 			t.Errorf("without member %s (-want +got):\n%s", c.id, d)
 		}
 	}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -19,7 +19,7 @@
 // The default settings of a Node.
 const (
 	DefaultHeartbeatInterval = 60 * time.Millisecond
-	DefaultElection          = 500 * time.Millisecond
+	DefaultElectionTimeout   = 500 * time.Millisecond
 	DefaultSnapshotThreshold = 20000
 	maxBatchSize             = 1024
 	queueSize                = 4096
@@ -52,15 +52,15 @@
 	// Send sends messages to other members; it must not block.
 	Send func([]*wire.RaftMessage)
 	// Founders is the initial configuration, used if Dir is empty.
-	Founders      *wire.Members
-	Heartbeat     time.Duration
-	Election      time.Duration
-	SnapshotEvery uint64
-	Log           hclog.Logger
+	Founders          *wire.Members
+	HeartbeatInterval time.Duration
+	ElectionTimeout   time.Duration
+	SnapshotThreshold uint64
+	Log               hclog.Logger
 	// Clock is the clock for timeouts and leases; nil means the host's boot-time clock.
 	Clock sumachead.Clock
 	// ObserveSync, if not nil, is called with the duration of each synced write.
-	Synced func(time.Duration)
+	ObserveSync func(time.Duration)
 
 	storage *Storage
 	core    *Core
@@ -117,7 +117,7 @@
 	n.appliedIndex, n.snapIndex = snap.GetIndex(), snap.GetIndex()
 	cfg := Config{
 		Group: string(n.Group), ID: n.ID, Incarnation: n.Incarnation,
-		HeartbeatInterval: n.Heartbeat, ElectionTimeout: n.Election, Rand: rand.Int64N,
+		HeartbeatInterval: n.HeartbeatInterval, ElectionTimeout: n.ElectionTimeout, Rand: rand.Int64N,
 		Snapshot: func() *wire.Snapshot { return n.storage.snapshot },
 	}
 	n.core = NewCore(cfg, storage.state, snap, entries, 0)
@@ -126,14 +126,14 @@
 }
 
 func (n *Node) setDefaults() {
-	if n.Heartbeat == 0 {
-		n.Heartbeat = DefaultHeartbeatInterval
+	if n.HeartbeatInterval == 0 {
+		n.HeartbeatInterval = DefaultHeartbeatInterval
 	}
-	if n.Election == 0 {
-		n.Election = DefaultElection
+	if n.ElectionTimeout == 0 {
+		n.ElectionTimeout = DefaultElectionTimeout
 	}
-	if n.SnapshotEvery == 0 {
-		n.SnapshotEvery = DefaultSnapshotThreshold
+	if n.SnapshotThreshold == 0 {
+		n.SnapshotThreshold = DefaultSnapshotThreshold
 	}
 	if n.Log == nil {
 		n.Log = hclog.NewNullLogger()
@@ -156,7 +156,7 @@
 // Run runs the member until ctx is done or an operation on the disk fails.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.shutDown()
-	ticker := time.NewTicker(n.Heartbeat / 4)
+	ticker := time.NewTicker(n.HeartbeatInterval / 4)
 	defer ticker.Stop()
 	for {
 		select {
@@ -296,8 +296,8 @@
 func (n *Node) save(state *wire.HardState, entries []*wire.LogEntry) error {
 	begin := time.Now()
 	err := n.storage.Save(state, entries)
-	if n.Synced != nil && (state != nil || len(entries) > 0) {
-		n.Synced(time.Since(begin))
+	if n.ObserveSync != nil && (state != nil || len(entries) > 0) {
+		n.ObserveSync(time.Since(begin))
 	}
 	return err
 }
--- a/internal/raft/node_test.go
+++ b/internal/raft/node_test.go
@@ -60,7 +60,7 @@
 	m := &member{machine: &register{}, done: make(chan error, 1)}
 	m.node = &Node{
 		Group: "g", ID: id, Incarnation: "0", Dir: dir, Machine: m.machine, Founders: founders,
-		Heartbeat: 10 * time.Millisecond, Election: 80 * time.Millisecond, SnapshotEvery: 50,
+		HeartbeatInterval: 10 * time.Millisecond, ElectionTimeout: 80 * time.Millisecond, SnapshotThreshold: 50,
 		Send: func(ms []*wire.RaftMessage) {
 			for _, x := range ms {
 				go g.deliver(x)
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -23,7 +23,7 @@
 
 // compact starts a snapshot once the log has grown by SnapshotThreshold entries.
 func (n *Node) compact() error {
-	if n.appliedIndex-n.snapIndex < n.SnapshotEvery {
+	if n.appliedIndex-n.snapIndex < n.SnapshotThreshold {
 		return nil
 	}
 	if n.pendingSnapshot != nil {
--- a/internal/raft/storage.go
+++ b/internal/raft/storage.go
@@ -188,7 +188,7 @@
 	if err := os.Rename(filepath.Join(s.dir, preparedSnapshotFile), filepath.Join(s.dir, snapshotFile)); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	if err := wal.SyncFolder(s.dir); err != nil {
+	if err := wal.SyncDir(s.dir); err != nil {
 		return err
 	}
 	s.snapshot = snap
@@ -226,7 +226,7 @@
 			return trace.ConvertSystemError(err)
 		}
 	}
-	return wal.SyncFolder(s.dir)
+	return wal.SyncDir(s.dir)
 }
 
 // Close closes the current log segment.
--- a/internal/raft/suspend_test.go
+++ b/internal/raft/suspend_test.go
@@ -50,7 +50,7 @@
 		for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 			for _, id := range ids {
 				m := g.running[id]
-				if id != except && m.node.Leading() && m.node.ReadBarrier(t.Context()) == nil {
+				if id != except && m.node.IsLeader() && m.node.ReadBarrier(t.Context()) == nil {
 					return id, m
 				}
 			}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -43,7 +43,7 @@
 
 // IsConnectionRefused reports whether a call failed because no process listens at the
 // address. A firewall that refuses connections to a host causes the same error.
-func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Client calls methods of the server at one address.
 type Client struct {
@@ -275,19 +275,19 @@
 
 // Pool shares clients by address and relay.
 type Pool struct {
-	TLS  *tls.Config
-	From net.IP
+	TLS     *tls.Config
+	LocalIP net.IP
 
 	mu      sync.Mutex // guards clients
 	clients map[path]*Client
 }
 
 // Get returns the client of an address that is reached directly.
-func (p *Pool) Get(address string) *Client { return p.GetThrough("", address) }
+func (p *Pool) Get(address string) *Client { return p.GetVia("", address) }
 
 // GetVia returns the client of an address that is reached through a relay; an empty
 // relay means a direct connection.
-func (p *Pool) GetThrough(relay, address string) *Client {
+func (p *Pool) GetVia(relay, address string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.clients == nil {
@@ -296,7 +296,7 @@
 	k := path{relay, address}
 	c := p.clients[k]
 	if c == nil {
-		c = &Client{Address: address, TLS: p.TLS, LocalIP: p.From, RelayAddress: relay}
+		c = &Client{Address: address, TLS: p.TLS, LocalIP: p.LocalIP, RelayAddress: relay}
 		p.clients[k] = c
 	}
 	return c
@@ -305,7 +305,7 @@
 // CloseIdle closes the connections that have been idle for longer than idleTimeout; a later
 // call dials again. It must be called periodically: a process that rarely calls each of many
 // peers at random would otherwise end up with an open connection to every one of them.
-func (p *Pool) Tidy(now time.Time) {
+func (p *Pool) CloseIdle(now time.Time) {
 	p.mu.Lock()
 	clients := slices.Collect(maps.Values(p.clients))
 	p.mu.Unlock()
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -106,7 +106,7 @@
 			defer cancel()
 			reply, err := Call[wire.HelloReply](ctx, &Client{Address: tt.address}, tt.method, &wire.HelloReply{Boot: "b"})
 			got := outcome{
-				NotSent: errors.Is(err, ErrNotSent), Refused: IsRefused(err),
+				NotSent: errors.Is(err, ErrNotSent), Refused: IsConnectionRefused(err),
 				TimedOut: errors.Is(err, context.DeadlineExceeded), Failed: err != nil,
 			}
 			if err != nil && strings.Contains(err.Error(), tt.want.Message) {
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -62,11 +62,11 @@
 	if n := p.OpenConnections(); n != peers+1 {
 		t.Fatalf("%d connections, want %d", n, peers+1)
 	}
-	p.Tidy(time.Now())
+	p.CloseIdle(time.Now())
 	if n := p.OpenConnections(); n != peers+1 {
 		t.Errorf("%d connections are left of %d that were just used", n, peers+1)
 	}
-	p.Tidy(time.Now().Add(idleTimeout + time.Second))
+	p.CloseIdle(time.Now().Add(idleTimeout + time.Second))
 	if n := p.OpenConnections(); n != 1 {
 		t.Errorf("%d connections are left, want the one with a call in flight", n)
 	}
@@ -89,7 +89,7 @@
 	end := time.Now().Add(300 * time.Millisecond)
 	all.Go(func() {
 		for time.Now().Before(end) {
-			p.Tidy(time.Now().Add(time.Hour))
+			p.CloseIdle(time.Now().Add(time.Hour))
 		}
 	})
 	for i := range 4 {
--- a/internal/rpc/traffic.go
+++ b/internal/rpc/traffic.go
@@ -21,16 +21,16 @@
 }
 
 // TrafficCollector exports the bytes sent by method to Prometheus.
-type Traffic struct{}
+type TrafficCollector struct{}
 
 var sentDesc = prometheus.NewDesc("sumachead_rpc_sent_bytes_total",
 	"Bytes sent to other processes of the system, calls and replies, by method.", []string{"method"}, nil)
 
 // Describe implements prometheus.Collector.
-func (Traffic) Describe(ch chan<- *prometheus.Desc) { ch <- sentDesc }
+func (TrafficCollector) Describe(ch chan<- *prometheus.Desc) { ch <- sentDesc }
 
 // Collect implements prometheus.Collector.
-func (Traffic) Collect(ch chan<- prometheus.Metric) {
+func (TrafficCollector) Collect(ch chan<- prometheus.Metric) {
 	sentBytes.Range(func(method, n any) bool {
 		ch <- prometheus.MustNewConstMetric(sentDesc, prometheus.CounterValue, float64(n.(*atomic.Int64).Load()), method.(string))
 		return true
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -33,13 +33,13 @@
 
 // CorruptionError reports a corrupt record that valid records follow: data that
 // had been synced is lost.
-type DamageError struct {
+type CorruptionError struct {
 	File   string
 	Offset int64
 }
 
 // Error implements error.
-func (e *DamageError) Error() string {
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("%s: record at offset %d is corrupt and valid records follow it; refusing to use the file", e.File, e.Offset)
 }
 
@@ -65,7 +65,7 @@
 		_ = f.Close()
 		return nil, err
 	}
-	if err := SyncFolder(filepath.Dir(path)); err != nil {
+	if err := SyncDir(filepath.Dir(path)); err != nil {
 		_ = f.Close()
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 	}
 	for i := 1; i+headerBytes < len(data); i++ {
 		if hasValidRecord(data[i:]) {
-			return &DamageError{File: l.path, Offset: offset}
+			return &CorruptionError{File: l.path, Offset: offset}
 		}
 	}
 	if err := l.f.Truncate(offset); err != nil {
@@ -215,7 +215,7 @@
 	if err := os.Rename(tempPath, path); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	return SyncFolder(filepath.Dir(path))
+	return SyncDir(filepath.Dir(path))
 }
 
 // ReadFile returns the record written by [WriteFile]. It returns a trace.NotFound
@@ -228,13 +228,13 @@
 	defer func() { _ = f.Close() }()
 	record, err := readRecord(bufio.NewReader(f))
 	if err != nil {
-		return nil, &DamageError{File: path}
+		return nil, &CorruptionError{File: path}
 	}
 	return record, nil
 }
 
 // SyncDir syncs a directory, which makes renames and new files in it durable.
-func SyncFolder(path string) error {
+func SyncDir(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return trace.ConvertSystemError(err)
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		_, err := Open(path, func([]byte) error { return nil })
-		var corruption *DamageError
+		var corruption *CorruptionError
 		if !errors.As(err, &corruption) || corruption.File != path {
 			t.Fatalf("byte %d: want a CorruptionError for %s, got %v", i, path, err)
 		}
@@ -101,7 +101,7 @@
 	if err := os.WriteFile(path, []byte("xxxxxxxxxxxx"), fileMode); err != nil {
 		t.Fatal(err)
 	}
-	var corruption *DamageError
+	var corruption *CorruptionError
 	if _, err := ReadFile(path); !errors.As(err, &corruption) {
 		t.Fatalf("want a CorruptionError, got %v", err)
 	}
