--- a/internal/keeper/acceptance.go
+++ b/internal/keeper/acceptance.go
@@ -9,49 +9,50 @@
 	"sumachead/internal/loop"
 )
 
-// treeIsEmpty reports whether no change was ever made. Only a leader that has
-// applied all that may be committed can tell.
-func (k *Keeper) treeIsEmpty(ctx context.Context) bool {
-	if _, revision, _ := k.machine.Current(); revision > 0 {
+// isTreeEmpty reports whether the settings tree has never been changed. Only a
+// leader that has applied every entry that may be committed can tell.
+func (k *Keeper) isTreeEmpty(ctx context.Context) bool {
+	if _, revision, _ := k.settingsMachine.Current(); revision > 0 {
 		return false
 	}
-	if k.settings.node.ReadBarrier(ctx) != nil {
+	if k.settingsGroup.node.ReadBarrier(ctx) != nil {
 		return false
 	}
-	_, revision, _ := k.machine.Current()
+	_, revision, _ := k.settingsMachine.Current()
 	return revision == 0
 }
 
-// contacts reports which halls' keepers are in contact with this leader of the
-// settings group.
-func (k *Keeper) contacts(ctx context.Context) map[sumachead.HallID]bool {
-	active, err := k.settings.node.PeersActive(ctx)
+// connectedHalls reports, for each hall, whether the keeper of its journal is
+// connected to this leader of the settings group.
+func (k *Keeper) connectedHalls(ctx context.Context) map[sumachead.HallID]bool {
+	active, err := k.settingsGroup.node.PeersActive(ctx)
 	if err != nil {
 		return nil
 	}
 	halls := make(map[sumachead.HallID]bool)
-	for _, h := range hallsOf(k.Config.Keepers) {
+	for _, h := range hallsWithKeepers(k.Config.Keepers) {
 		holder, _ := keeperclient.Holder(h, k.Config.Keepers)
 		halls[h] = holder.ID == string(k.Config.Node) || active[holder.ID]
 	}
 	return halls
 }
 
-// leadershipLoop notes when this keeper begins to lead the settings group.
+// leadershipLoop tracks how long each group has had a leader and, while this
+// keeper leads the settings group, its term and the connected halls.
 func (k *Keeper) leadershipLoop(ctx context.Context) error {
 	const (
-		watchEvery   = 10 * time.Millisecond
-		contactEvery = 10 // rounds
+		watchInterval   = 10 * time.Millisecond
+		contactInterval = 10 // rounds
 	)
 	rounds := 0
-	return loop.Every(ctx, watchEvery, func() {
+	return loop.Every(ctx, watchInterval, func() {
 		for _, g := range k.groups() {
-			g.noteLeader(time.Now())
+			g.trackLeader(time.Now())
 		}
-		if s := k.settings.node.Status(); s.GetLeader() == string(k.Config.Node) {
-			k.nodes.lead(s.GetTerm(), k.treeIsEmpty(ctx), time.Now())
-			if rounds++; rounds%contactEvery == 0 {
-				k.nodes.contact(k.contacts(ctx), time.Now())
+		if s := k.settingsGroup.node.Status(); s.GetLeader() == string(k.Config.Node) {
+			k.nodes.startTerm(s.GetTerm(), k.isTreeEmpty(ctx), time.Now())
+			if rounds++; rounds%contactInterval == 0 {
+				k.nodes.recordContact(k.connectedHalls(ctx), time.Now())
 			}
 		}
 	})
--- a/internal/keeper/allotments.go
+++ b/internal/keeper/allotments.go
@@ -14,43 +14,44 @@
 )
 
 const (
-	allotEvery = 250 * time.Millisecond
-	// allotChunk bounds the budgets that one round looks at.
-	allotChunk = 2000
+	allotInterval = 250 * time.Millisecond
+	// maxBudgetsPerRound bounds the number of budgets that one round examines.
+	maxBudgetsPerRound = 2000
 )
 
-// allotLoop sizes the halls' allotments where this keeper leads the ledger.
+// allotLoop adjusts the allotments of the halls while this keeper leads the
+// ledger group.
 func (k *Keeper) allotLoop(ctx context.Context) error {
 	next := ""
-	return loop.Every(ctx, allotEvery, func() {
-		if !k.money.node.Leading() {
+	return loop.Every(ctx, allotInterval, func() {
+		if !k.ledgerGroup.node.Leading() {
 			return
 		}
-		halls := k.liveHalls(ctx)
+		halls := k.connectedJournals(ctx)
 		grants := &wire.GrantBatch{}
-		chunk := k.ledger.BudgetsAfter(next, allotChunk)
+		chunk := k.ledger.BudgetsAfter(next, maxBudgetsPerRound)
 		for _, b := range chunk {
 			next = b.GetBudget()
 			grants.Grants = append(grants.Grants, k.allotBudget(b, halls)...)
 		}
 		if len(grants.GetGrants()) > 0 {
-			k.try(ctx, "allotments", &wire.LedgerCommand{Command: &wire.LedgerCommand_Grants{Grants: grants}})
+			k.proposeOrLog(ctx, "allotments", &wire.LedgerCommand{Command: &wire.LedgerCommand_Grants{Grants: grants}})
 		}
-		if len(chunk) < allotChunk {
-			next = "" // that was the last one
+		if len(chunk) < maxBudgetsPerRound {
+			next = "" // start over after the last budget
 		}
 	})
 }
 
-// liveHalls returns the halls whose holders are in contact, with their
-// incarnations.
-func (k *Keeper) liveHalls(ctx context.Context) map[string]string {
-	active, err := k.money.node.PeersActive(ctx)
+// connectedJournals maps each hall whose journal's keeper is connected to the
+// incarnation of that keeper.
+func (k *Keeper) connectedJournals(ctx context.Context) map[string]string {
+	active, err := k.ledgerGroup.node.PeersActive(ctx)
 	if err != nil {
 		return nil
 	}
 	halls := make(map[string]string)
-	for _, h := range hallsOf(k.Config.Keepers) {
+	for _, h := range hallsWithKeepers(k.Config.Keepers) {
 		holder, _ := keeperclient.Holder(h, k.Config.Keepers)
 		if holder.ID != string(k.Config.Node) && !active[holder.ID] {
 			continue
@@ -62,9 +63,10 @@
 	return halls
 }
 
-// incarnationOf returns a keeper's incarnation as the ledger's group has it.
+// incarnationOf returns the incarnation of a keeper in the ledger group's
+// membership, or "" if it is not a member.
 func (k *Keeper) incarnationOf(id string) string {
-	for _, m := range k.money.node.Status().GetMembers() {
+	for _, m := range k.ledgerGroup.node.Status().GetMembers() {
 		if m.GetId() == id {
 			return m.GetIncarnation()
 		}
@@ -72,7 +74,7 @@
 	return ""
 }
 
-func hallsOf(keepers []config.Keeper) []sumachead.HallID {
+func hallsWithKeepers(keepers []config.Keeper) []sumachead.HallID {
 	var halls []sumachead.HallID
 	for _, k := range keepers {
 		if !slices.Contains(halls, k.Hall) {
@@ -82,8 +84,8 @@
 	return halls
 }
 
-// allotBudget recalls for one budget as the policy says, and returns what it
-// grants.
+// allotBudget runs the allotment policy for one budget: it carries out the
+// recalls and returns the grants.
 func (k *Keeper) allotBudget(b *wire.BudgetState, live map[string]string) []*wire.Grant {
 	in := allot.Input{Available: b.GetTotal() - b.GetSpent() - b.GetReserved() - b.GetAllotted()}
 	held := make(map[string]*wire.Allotment)
@@ -93,14 +95,14 @@
 		}
 	}
 	var grants []*wire.Grant
-	for _, h := range hallsOf(k.Config.Keepers) {
+	for _, h := range hallsWithKeepers(k.Config.Keepers) {
 		_, isLive := live[string(h)]
 		in.Halls = append(in.Halls, allot.Hall{
 			ID: h, Live: isLive, Held: held[string(h)].GetHeld(),
 			Demand: k.demand.Rate(b.GetBudget(), string(h), time.Now()),
 		})
 	}
-	for _, step := range k.allotments.Plan(in) {
+	for _, step := range k.allotPolicy.Plan(in) {
 		hall := string(step.Hall)
 		if step.Tokens < 0 {
 			k.recall(held[hall], -step.Tokens)
--- a/internal/keeper/controllers.go
+++ b/internal/keeper/controllers.go
@@ -17,20 +17,22 @@
 )
 
 const (
-	// EntryRetention is how long an ended entry answers for its key.
-	EntryRetention = 30 * time.Minute
-	expireEvery    = time.Second
-	membersEvery   = 300 * time.Millisecond
-	totalsEvery    = 20 * time.Millisecond
+	// EntryRetention is how long a finished entry is kept to detect duplicates
+	// of its key.
+	EntryRetention  = 30 * time.Minute
+	expiryInterval  = time.Second
+	membersInterval = 300 * time.Millisecond
+	totalsInterval  = 20 * time.Millisecond
 )
 
-// runControllers starts the loops that act where this keeper leads.
+// runControllers starts the control loops. Most of them act only while this
+// keeper leads the group they concern.
 func (k *Keeper) runControllers(ctx context.Context, tasks *errgroup.Group) {
 	loops := []func(context.Context) error{
 		k.joinLoop, k.totalsLoop, k.expiryLoop, k.membersLoop, k.leadershipLoop,
 		k.allotLoop, k.hallTopupsLoop,
 	}
-	if k.holds {
+	if k.holdsJournal {
 		loops = append(loops, k.journal.Run, k.mergeLoop, k.journalExpiryLoop)
 	}
 	for _, f := range loops {
@@ -38,12 +40,12 @@
 	}
 }
 
-// totalsLoop carries the budgets' totals from the settings tree to the ledger.
-// It works at the ledger's leader, from its own copy of the tree.
+// totalsLoop copies the totals of the budgets from the settings tree to the
+// ledger. It runs on the ledger's leader and reads its local copy of the tree.
 func (k *Keeper) totalsLoop(ctx context.Context) error {
-	return loop.Every(ctx, totalsEvery, func() {
-		tree, revision, _ := k.machine.Current()
-		if !k.money.node.Leading() || revision <= k.ledger.TotalsRevision() {
+	return loop.Every(ctx, totalsInterval, func() {
+		tree, revision, _ := k.settingsMachine.Current()
+		if !k.ledgerGroup.node.Leading() || revision <= k.ledger.TotalsRevision() {
 			return
 		}
 		totals := &wire.SetTotals{Revision: revision}
@@ -54,18 +56,19 @@
 			}
 			totals.Totals = append(totals.Totals, &wire.BudgetTotal{Budget: id, Total: int64(total), HallTopups: hallTopups})
 		}
-		k.try(ctx, "totals", &wire.LedgerCommand{Command: &wire.LedgerCommand_Totals{Totals: totals}})
+		k.proposeOrLog(ctx, "totals", &wire.LedgerCommand{Command: &wire.LedgerCommand_Totals{Totals: totals}})
 	})
 }
 
-// expiryLoop presumes and forgets entries.
+// expiryLoop bills overdue entries of the ledger their presumed cost and
+// deletes finished ones after EntryRetention.
 func (k *Keeper) expiryLoop(ctx context.Context) error {
-	return loop.Every(ctx, expireEvery, func() {
-		if !k.money.node.Leading() {
+	return loop.Every(ctx, expiryInterval, func() {
+		if !k.ledgerGroup.node.Leading() {
 			return
 		}
 		now := time.Now()
-		k.try(ctx, "expiry", &wire.LedgerCommand{Command: &wire.LedgerCommand_Expire{Expire: &wire.Expire{
+		k.proposeOrLog(ctx, "expiry", &wire.LedgerCommand{Command: &wire.LedgerCommand_Expire{Expire: &wire.Expire{
 			NowUnixNano:           now.UnixNano(),
 			RetainBeforeUnixNano:  now.Add(-EntryRetention).UnixNano(),
 			PresumeBeforeUnixNano: now.Add(-k.Config.PresumeAfter.Duration).UnixNano(),
@@ -73,17 +76,18 @@
 	})
 }
 
-// journalExpiryLoop presumes and forgets entries of the hall's journal.
+// journalExpiryLoop does the same as expiryLoop for the hall's journal.
 func (k *Keeper) journalExpiryLoop(ctx context.Context) error {
-	return loop.Every(ctx, expireEvery, func() {
+	return loop.Every(ctx, expiryInterval, func() {
 		now := time.Now()
 		if err := k.journal.Expire(now, now.Add(-k.Config.PresumeAfter.Duration)); err != nil && ctx.Err() == nil {
-			k.Log.Warn("Expiry in the journal failed.", "error", err)
+			k.Log.Warn("Expiring journal entries failed.", "error", err)
 		}
 	})
 }
 
-// proposeTopup adds a hall's top-up to the tree at a revision.
+// proposeTopup proposes to add a hall's top-up to the settings tree, based on
+// the given revision.
 func (k *Keeper) proposeTopup(ctx context.Context, revision uint64, budget, id string, tokens int64) error {
 	hall := keeperclient.HallOf(id, k.Config.Keepers)
 	object, err := strictjson.Encode(settings.Topup{Tokens: sumachead.Tokens(tokens), Hall: hall})
@@ -100,20 +104,21 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	_, err = k.settings.node.Propose(ctx, data)
+	_, err = k.settingsGroup.node.Propose(ctx, data)
 	return trace.Wrap(err)
 }
 
-// try proposes a command; a failure is logged and the loop comes back to it.
-func (k *Keeper) try(ctx context.Context, controller string, c *wire.LedgerCommand) {
+// proposeOrLog proposes a command and logs a failure: the control loop retries
+// in its next round.
+func (k *Keeper) proposeOrLog(ctx context.Context, controller string, c *wire.LedgerCommand) {
 	if _, err := k.propose(ctx, c); err != nil && ctx.Err() == nil {
 		k.Log.Warn("A controller's command failed.", "controller", controller, "error", err)
 	}
 }
 
-// membersLoop gives learners that have caught up their vote.
+// membersLoop promotes learners that have caught up to voters.
 func (k *Keeper) membersLoop(ctx context.Context) error {
-	return loop.Every(ctx, membersEvery, func() {
+	return loop.Every(ctx, membersInterval, func() {
 		for _, g := range k.groups() {
 			if g.node.Leading() {
 				k.promote(ctx, g)
--- a/internal/keeper/founding.go
+++ b/internal/keeper/founding.go
@@ -19,32 +19,33 @@
 )
 
 const (
-	identityFile = "identity"
-	probeTimeout = 500 * time.Millisecond
-	probeEvery   = 200 * time.Millisecond
+	identityFile  = "identity"
+	probeTimeout  = 500 * time.Millisecond
+	probeInterval = 200 * time.Millisecond
 )
 
-// probeService answers other keepers that want to know whether the system
-// exists already.
+// probeService tells other keepers during bootstrap whether the cluster already
+// exists.
 type probeService struct {
-	keeper  *Keeper
-	answers atomic.Pointer[wire.ProbeReply]
+	keeper *Keeper
+	reply  atomic.Pointer[wire.ProbeReply]
 }
 
-// Ask tells this keeper's incarnation and whether it runs its groups.
+// Ask returns this keeper's incarnation and whether its groups run.
 func (p *probeService) Ask(_ *wire.Empty, reply *wire.ProbeReply) error {
-	proto.Merge(reply, p.answers.Load())
+	proto.Merge(reply, p.reply.Load())
 	return nil
 }
 
 func (p *probeService) publish(id *wire.Identity) {
-	p.answers.Store(&wire.ProbeReply{
+	p.reply.Store(&wire.ProbeReply{
 		Keeper: id.GetKeeper(), Incarnation: id.GetIncarnation(),
 		Running: id.GetFounders() != nil || id.GetJoined(), Founders: id.GetFounders(),
 	})
 }
 
-// openIdentity reads the identity or writes a new one to an empty folder.
+// openIdentity reads the keeper's identity, or creates one if the data
+// directory is empty.
 func (k *Keeper) openIdentity(p *probeService) error {
 	path := filepath.Join(k.Config.Data, identityFile)
 	id := &wire.Identity{}
@@ -76,25 +77,27 @@
 	return wal.WriteFile(filepath.Join(k.Config.Data, identityFile), data)
 }
 
-// found settles whether this keeper founds the system or joins it, and opens
-// the groups. An empty folder founds only when every keeper is reached and
-// none runs: a keeper that lost its disk thus never starts a second history.
-func (k *Keeper) found(ctx context.Context, p *probeService) error {
+// bootstrap decides whether this keeper creates the cluster or joins it, and
+// opens the groups. A keeper with an empty data directory creates the cluster
+// only if it reaches all keepers and none of them runs, so that a keeper that
+// lost its disk never starts a second history.
+func (k *Keeper) bootstrap(ctx context.Context, p *probeService) error {
 	for k.identity.GetFounders() == nil && !k.identity.GetJoined() {
-		if err := k.decide(ctx); err != nil {
+		if err := k.probeKeepers(ctx); err != nil {
 			return err
 		}
 	}
 	if err := k.openGroups(); err != nil {
 		return err
 	}
-	k.opened.Store(true)
+	k.groupsOpen.Store(true)
 	p.publish(k.identity)
 	return nil
 }
 
-// decide makes one round of questions.
-func (k *Keeper) decide(ctx context.Context) error {
+// probeKeepers asks every keeper once whether the cluster exists, and creates or
+// joins it if the replies allow that.
+func (k *Keeper) probeKeepers(ctx context.Context) error {
 	founders := &wire.Members{}
 	reached := 0
 	for _, other := range k.Config.Keepers {
@@ -112,7 +115,7 @@
 			continue
 		}
 		if r.GetRunning() {
-			return k.enter(r)
+			return k.joinRunningCluster(r)
 		}
 		reached++
 		founders.Members = append(founders.Members, &wire.Member{
@@ -120,32 +123,33 @@
 		})
 	}
 	if reached == len(k.Config.Keepers) {
-		k.Log.Info("Founding the system.", "keepers", reached)
+		k.Log.Info("Creating the cluster.", "keepers", reached)
 		k.identity.Founders = founders
 		return k.saveIdentity()
 	}
-	loop.Sleep(ctx, probeEvery)
+	loop.Sleep(ctx, probeInterval)
 	return ctx.Err()
 }
 
-// enter takes part in a system that runs: as a founder if this very folder was
-// among the founders, else as a newcomer.
-func (k *Keeper) enter(r *wire.ProbeReply) error {
+// joinRunningCluster joins a cluster that already exists: as a founder if this
+// incarnation is among the founders, and as a new member otherwise.
+func (k *Keeper) joinRunningCluster(r *wire.ProbeReply) error {
 	for _, m := range r.GetFounders().GetMembers() {
 		if m.GetId() == k.identity.GetKeeper() && m.GetIncarnation() == k.identity.GetIncarnation() {
 			k.identity.Founders = r.GetFounders()
 			return k.saveIdentity()
 		}
 	}
-	k.Log.Warn("Joining a running system with an empty folder.", "incarnation", k.identity.GetIncarnation())
+	k.Log.Warn("Joining a running cluster with an empty data directory.", "incarnation", k.identity.GetIncarnation())
 	k.identity.Joined = true
 	k.identity.JoinedUnixNano = time.Now().UnixNano()
 	return k.saveIdentity()
 }
 
-// joinLoop asks the leaders to take this keeper in until they have.
+// joinLoop asks the leader of each group to add this keeper as a learner, until
+// it is a member of all groups.
 func (k *Keeper) joinLoop(ctx context.Context) error {
-	const joinEvery = 500 * time.Millisecond
+	const joinInterval = 500 * time.Millisecond
 	if !k.identity.GetJoined() {
 		return nil
 	}
@@ -162,7 +166,7 @@
 				continue
 			}
 			missing = true
-			callCtx, cancel := context.WithTimeout(ctx, joinEvery)
+			callCtx, cancel := context.WithTimeout(ctx, joinInterval)
 			_, err := keeperclient.Call[wire.Empty](callCtx, k.clients, g.node.Group, "Keeper.Join",
 				&wire.JoinRequest{Group: string(g.node.Group), Member: self})
 			cancel()
@@ -173,7 +177,7 @@
 		if !missing {
 			return nil
 		}
-		if !loop.Sleep(ctx, joinEvery) {
+		if !loop.Sleep(ctx, joinInterval) {
 			return nil
 		}
 	}
--- a/internal/keeper/grants.go
+++ b/internal/keeper/grants.go
@@ -8,26 +8,25 @@
 	"sumachead/internal/raft"
 )
 
-// grantsMost is for how long a reservation asks the ledger for more: as long as it waits for
-// room, after which its caller asks again.
-const grantsMost = roomWait
+// maxGrantWait bounds how long a reservation keeps requesting grants from the ledger: as long
+// as it waits for free tokens, after which its caller retries.
+const maxGrantWait = maxTokenWait
 
-// reserveWithGrants reserves from a hall's account, and asks the ledger for more while the
-// account is short. Only the ledger knows that a budget is used up: between a grant and the
-// reservation a recall may take what the account holds. Refusing after one grant refused 4 of
-// 200 requests of a budget that held a hundred times as much, with recalls of all that a hall
-// holds (scenario keeper_restarts, one of six runs). An error says that the caller is to try
-// again.
-func reserveWithGrants(reserve func() (*wire.LedgerReply, error), ask func() (granted bool, err error), until time.Time) (*wire.LedgerReply, error) {
+// reserveWithGrants reserves from the account of a hall and requests grants from the ledger
+// while the account is short. Only the ledger knows whether a budget is exhausted: a recall may
+// empty the account between a grant and the reservation. Giving up after one grant refused 4 of
+// 200 requests although the budget held 100 times as much (scenario keeper_restarts with recalls
+// of everything a hall holds, in one of six runs). An error means that the caller should retry.
+func reserveWithGrants(reserve func() (*wire.LedgerReply, error), requestGrant func() (granted bool, err error), deadline time.Time) (*wire.LedgerReply, error) {
 	for more := true; ; {
 		got, err := reserve()
 		if err != nil || !more || got.GetCode() != wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED {
 			return got, err
 		}
-		if more, err = ask(); err != nil {
+		if more, err = requestGrant(); err != nil {
 			return got, err
 		}
-		if more && time.Now().After(until) {
+		if more && time.Now().After(deadline) {
 			return got, keeperclient.EncodeError(&raft.NotLeaderError{})
 		}
 	}
--- a/internal/keeper/grants_test.go
+++ b/internal/keeper/grants_test.go
@@ -11,39 +11,35 @@
 	"sumachead/internal/journal"
 )
 
-// What callers saw: just after the keeper of a hall had started again, 1 to 5 of 200 requests
-// were refused as beyond a budget that held a hundred times as much; once in some forty runs.
+// A request must not be refused as long as its budget has tokens, even if recalls empty the
+// account of its hall.
 //
-// The order of events: the hall's account is short, the ledger grants it more, a recall that was
-// planned before that takes all that is in the account, and the reservation finds nothing.
-//
-// The cause: what the account does not hold after one grant was taken for what the budget does
-// not hold.
-//
-// The evidence: with recalls of all that a hall holds, five times as often as usual, the same
-// refusals came in one of six runs (4 of 200), each with a line that the account holds nothing
-// although the ledger has granted it 5,048,000, and none that the ledger grants nothing.
+// The account is short, the ledger grants it more, and a recall that was planned earlier takes
+// the grant before the reservation does. A hall that treated its empty account as an exhausted
+// budget refused 1 to 5 of 200 requests after its keeper had restarted, although the budget held
+// 100 times as much. This happened once in about 40 runs; with recalls of everything a hall holds,
+// five times as often as usual, in one of six (4 of 200 requests, with 5,048,000 tokens granted).
 func TestReservationOutlastsRecalls(t *testing.T) {
 	const amount, grant = 10, 320
 	tests := []struct {
 		name string
-		// left is what the ledger may still grant, and recalls how many grants are recalled
-		// before the reservation.
+		// left is the number of tokens that the ledger can still grant, recalls the number of
+		// grants that are recalled before the reservation.
 		left    int64
 		recalls int
-		// failing: the ledger is not reached.
-		failing error
-		want    wire.LedgerCode
-		asked   int
-		fails   bool
+		// err is returned by requests to the ledger.
+		err          error
+		want         wire.LedgerCode
+		wantRequests int
+		wantErr      bool
 	}{
-		{"a grant", 10_000, 0, nil, wire.LedgerCode_LEDGER_CODE_GRANTED, 1, false},
-		{"a recall takes the grant", 10_000, 1, nil, wire.LedgerCode_LEDGER_CODE_GRANTED, 2, false},
+		{"one grant suffices", 10_000, 0, nil, wire.LedgerCode_LEDGER_CODE_GRANTED, 1, false},
+		{"recall takes the grant", 10_000, 1, nil, wire.LedgerCode_LEDGER_CODE_GRANTED, 2, false},
 		{"recalls take three grants", 10_000, 3, nil, wire.LedgerCode_LEDGER_CODE_GRANTED, 4, false},
-		{"the ledger has nothing", 0, 0, nil, wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED, 1, false},
-		{"the ledger has less than the request needs", 9, 0, nil, wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED, 2, false},
-		{"recalls take each grant", 1 << 40, 1 << 30, nil, 0, 0, true},
-		{"the ledger is not reached", 0, 0, errors.New("no leader"), 0, 1, true},
+		{"budget exhausted", 0, 0, nil, wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED, 1, false},
+		{"budget smaller than the request", 9, 0, nil, wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED, 2, false},
+		{"recalls take every grant", 1 << 40, 1 << 30, nil, 0, 0, true},
+		{"ledger unreachable", 0, 0, errors.New("no leader"), 0, 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -64,16 +60,16 @@
 			r := &wire.ReserveRequest{
 				Workspace: "w", Key: "k", Budget: "b", Amount: amount, Attempt: &wire.Attempt{Owner: "o"}, DeadlineUnixNano: 1,
 			}
-			asked := 0
-			ask := func() (bool, error) {
-				asked++
+			requests := 0
+			requestGrant := func() (bool, error) {
+				requests++
 				n := min(grant, tt.left)
-				if tt.failing != nil || n == 0 {
-					return false, tt.failing
+				if tt.err != nil || n == 0 {
+					return false, tt.err
 				}
 				granted += n
 				tt.left -= n
-				if asked <= tt.recalls {
+				if requests <= tt.recalls {
 					if _, err := j.Return("b", 1<<40); err != nil {
 						t.Fatal(err)
 					}
@@ -81,18 +77,18 @@
 				return true, nil
 			}
 			begun := time.Now()
-			got, err := reserveWithGrants(func() (*wire.LedgerReply, error) { return j.Reserve(r) }, ask, begun.Add(grantsMost))
-			if (err != nil) != tt.fails {
-				t.Fatalf("error %v", err)
+			got, err := reserveWithGrants(func() (*wire.LedgerReply, error) { return j.Reserve(r) }, requestGrant, begun.Add(maxGrantWait))
+			if (err != nil) != tt.wantErr {
+				t.Fatalf("unexpected error: %v", err)
 			}
-			if tt.fails {
-				if d := time.Since(begun); d > 2*grantsMost {
-					t.Errorf("after %v", d)
+			if tt.wantErr {
+				if d := time.Since(begun); d > 2*maxGrantWait {
+					t.Errorf("gave up after %v", d)
 				}
 				return
 			}
-			if got.GetCode() != tt.want || asked != tt.asked {
-				t.Errorf("%v after %d questions to the ledger, want %v after %d", got.GetCode(), asked, tt.want, tt.asked)
+			if got.GetCode() != tt.want || requests != tt.wantRequests {
+				t.Errorf("%v after %d grant requests, want %v after %d", got.GetCode(), requests, tt.want, tt.wantRequests)
 			}
 		})
 	}
--- a/internal/keeper/group.go
+++ b/internal/keeper/group.go
@@ -13,39 +13,39 @@
 	"sumachead/internal/raft"
 )
 
-// group is one replicated group of this keeper.
+// group is this keeper's member of one Raft group.
 type group struct {
 	node   *raft.Node
 	sender *sender
-	// leaderless is since when the group has no leader, in Unix nanoseconds; 0
-	// when it has one.
-	leaderless atomic.Int64
+	// leaderlessSince is when the group lost its leader, in Unix nanoseconds; 0
+	// while it has one.
+	leaderlessSince atomic.Int64
 }
 
-// leaderlessFor returns how long the group has had no leader, as far as this
-// keeper knows; 0 when it has one.
+// leaderlessFor returns how long the group has had no leader as seen by this
+// keeper, or 0 if it has one.
 func (g *group) leaderlessFor(now time.Time) time.Duration {
 	if g.node.Status().GetLeader() != "" {
 		return 0
 	}
-	since := g.leaderless.Load()
+	since := g.leaderlessSince.Load()
 	if since == 0 {
 		return time.Nanosecond
 	}
 	return max(now.Sub(time.Unix(0, since)), time.Nanosecond)
 }
 
-// noteLeader keeps the time since when there is no leader.
-func (g *group) noteLeader(now time.Time) {
+// trackLeader records when the group loses its leader.
+func (g *group) trackLeader(now time.Time) {
 	if g.node.Status().GetLeader() != "" {
-		g.leaderless.Store(0)
+		g.leaderlessSince.Store(0)
 		return
 	}
-	g.leaderless.CompareAndSwap(0, now.UnixNano())
+	g.leaderlessSince.CompareAndSwap(0, now.UnixNano())
 }
 
-// readBarrier returns nil when a read of this keeper's copy is linearizable, and
-// otherwise the error to answer a caller with.
+// readBarrier returns nil if a read of the local state is linearizable, and the
+// error to return to the caller otherwise.
 func (g *group) readBarrier() error {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
@@ -72,8 +72,9 @@
 	}
 }
 
-// handOver passes leadership on, so that a planned stop costs no election.
-func (k *Keeper) handOver() {
+// resignLeadership transfers the leadership of all groups, so that a planned
+// stop does not cause an election.
+func (k *Keeper) resignLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, g := range k.groups() {
--- a/internal/keeper/hallservice.go
+++ b/internal/keeper/hallservice.go
@@ -15,25 +15,30 @@
 	"sumachead/internal/raft"
 )
 
-var errForeignTopup = errors.New("the top-up's id does not belong to this hall")
+var errTopupOfOtherHall = errors.New("the top-up's id does not belong to this hall")
 
 const (
-	// cutOffAfter is how long the ledger may have no leader before the hall
-	// answers for good from its own account. Until then what it can't grant
-	// may soon be granted by a new leader.
-	cutOffAfter = 2 * time.Second
-	// grantTimeout bounds a journal's question for more tokens.
+	// cutOffDelay is how long the ledger must have had no leader before a refusal
+	// by the hall's account is final. Until then a new leader may soon grant what
+	// the account lacks.
+	cutOffDelay = 2 * time.Second
+	// grantTimeout bounds a journal's calls to the ledger, such as a request for
+	// a grant.
 	grantTimeout = 700 * time.Millisecond
-	// claimMergeTimeout bounds how long a claim waits to be in the ledger too.
+	// claimMergeTimeout bounds how long a claim waits until it is merged into
+	// the ledger.
 	claimMergeTimeout = 400 * time.Millisecond
-	// grantFactor is how many requests of the size at hand a question covers.
+	// grantFactor is the number of requests of the current size that one grant
+	// covers.
 	grantFactor = 32
 )
 
-// hallService serves the hall's journal. Only the holder of the hall runs it.
+// hallService serves the journal of a hall. Only the keeper that holds the
+// journal registers it.
 type hallService struct{ keeper *Keeper }
 
-// Reserve reserves for a key that belongs to the hall, connected or not.
+// Reserve reserves tokens for a key that belongs to the hall, whether or not
+// the ledger is reachable.
 func (s *hallService) Reserve(r *wire.ReserveRequest, reply *wire.LedgerReply) error {
 	k := s.keeper
 	if keeperclient.HallOf(r.GetKey(), k.Config.Keepers) != k.Config.Hall {
@@ -43,65 +48,66 @@
 	now := time.Now()
 	r.NowUnixNano = now.UnixNano()
 	k.demand.Note(r.GetBudget(), r.GetHall(), r.GetAmount(), now)
-	if k.answerForLostJournal(r, reply, now) {
+	if k.replyForLostJournal(r, reply, now) {
 		return nil
 	}
 	got, err := reserveWithGrants(
 		func() (*wire.LedgerReply, error) { return k.journal.Reserve(r) },
-		func() (bool, error) { return k.askGrant(r.GetBudget(), r.GetAmount()) },
-		now.Add(grantsMost))
+		func() (bool, error) { return k.requestGrant(r.GetBudget(), r.GetAmount()) },
+		now.Add(maxGrantWait))
 	if err == nil {
-		got, err = k.reserveWithRoom(r, got)
+		got, err = k.reserveWhenTokensFree(r, got)
 	}
 	if err == nil && got.GetCode() == wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED {
-		k.noteShort(r)
+		k.logShortfall(r)
 	}
 	if err == nil {
 		err = k.mergeClaim()
 	}
-	return k.hallReply("reserve", got, err, reply)
+	return k.copyJournalReply("reserve", got, err, reply)
 }
 
-// noteShort logs why the hall's account does not hold a reservation.
-func (k *Keeper) noteShort(r *wire.ReserveRequest) {
+// logShortfall logs the state of a hall's account that cannot cover a
+// reservation.
+func (k *Keeper) logShortfall(r *wire.ReserveRequest) {
 	id := sumachead.BudgetID(r.GetBudget())
 	available, reserved := k.journal.Available(id)
-	k.Log.Debug("The hall's account does not hold a reservation.", "budget", id, "amount", r.GetAmount(), "available", available,
+	k.Log.Debug("The hall's account cannot cover a reservation.", "budget", id, "amount", r.GetAmount(), "available", available,
 		"reserved", reserved, "granted", k.ledger.Granted(id, k.Config.Hall, k.identity.GetIncarnation()))
 }
 
-// mergeClaim brings a claim to the ledger before it is answered, so that a disk
-// that is lost takes no claim with it. An error means that the caller should try
-// again: a leader may soon be there. Once the hall has been cut off for long,
-// the journal alone must do.
+// mergeClaim merges a claim into the ledger before the caller gets a reply, so
+// that no claim is lost together with a disk. An error means that the caller
+// should retry, since a leader may soon be elected. If the ledger has had no
+// leader for cutOffDelay, the journal alone suffices.
 func (k *Keeper) mergeClaim() error {
-	if k.money.leaderlessFor(time.Now()) >= cutOffAfter {
+	if k.ledgerGroup.leaderlessFor(time.Now()) >= cutOffDelay {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimMergeTimeout)
 	defer cancel()
 	if err := k.mergeOnce(ctx); err != nil {
-		k.Log.Debug("A claim is in the journal only, so far.", "error", err)
+		k.Log.Debug("Merging a claim failed; it is only in the journal.", "error", err)
 		return keeperclient.EncodeError(&raft.NotLeaderError{})
 	}
 	return nil
 }
 
-// reserveWithRoom repeats a reservation that the journal refused, once requests
-// under way have given back enough.
-func (k *Keeper) reserveWithRoom(r *wire.ReserveRequest, got *wire.LedgerReply) (*wire.LedgerReply, error) {
+// reserveWhenTokensFree retries a reservation that the journal refused, as soon
+// as requests in flight have released enough tokens.
+func (k *Keeper) reserveWhenTokensFree(r *wire.ReserveRequest, got *wire.LedgerReply) (*wire.LedgerReply, error) {
 	var err error
 	available := func() (sumachead.Tokens, sumachead.Tokens) {
 		return k.journal.Available(sumachead.BudgetID(r.GetBudget()))
 	}
-	for deadline := time.Now().Add(roomWait); err == nil && k.awaitRoom(&k.journal.Room, r, got, deadline, available); {
+	for deadline := time.Now().Add(maxTokenWait); err == nil && k.awaitTokens(&k.journal.Room, r, got, deadline, available); {
 		got, err = k.journal.Reserve(r)
 	}
 	return got, err
 }
 
-// hallReply passes on what the journal answered.
-func (k *Keeper) hallReply(method string, got *wire.LedgerReply, err error, reply *wire.LedgerReply) error {
+// copyJournalReply copies a reply of the journal to the caller's and counts it.
+func (k *Keeper) copyJournalReply(method string, got *wire.LedgerReply, err error, reply *wire.LedgerReply) error {
 	if err != nil {
 		return err
 	}
@@ -110,38 +116,38 @@
 	return nil
 }
 
-// askGrant asks the ledger for tokens and waits until this keeper's copy of
-// the ledger shows them. It reports whether the ledger has granted any. An error means
-// that it was not reached: the caller should try again, unless the hall has been cut off
-// for long.
-func (k *Keeper) askGrant(budget string, amount int64) (granted bool, err error) {
+// requestGrant requests tokens from the ledger, waits until this keeper's replica
+// of the ledger has applied the grant, and reports whether any were granted. An
+// error means that the ledger was unreachable and the caller should retry; if it
+// has had no leader for cutOffDelay, there is no error and no grant.
+func (k *Keeper) requestGrant(budget string, amount int64) (granted bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), grantTimeout)
 	defer cancel()
 	reply, err := k.clients.Grant(ctx, &wire.Grant{
 		Budget: budget, Hall: string(k.Config.Hall), KeeperIncarnation: k.identity.GetIncarnation(),
 		Amount: amount * grantFactor, Partial: true,
 	})
-	if err != nil && k.money.leaderlessFor(time.Now()) >= cutOffAfter {
+	if err != nil && k.ledgerGroup.leaderlessFor(time.Now()) >= cutOffDelay {
 		return false, nil
 	}
 	if err != nil {
 		return false, keeperclient.EncodeError(&raft.NotLeaderError{})
 	}
 	if reply.GetCode() != wire.LedgerCode_LEDGER_CODE_GRANTED {
-		k.Log.Debug("The ledger grants the hall nothing.", "budget", budget, "code", reply.GetCode().String())
+		k.Log.Debug("The ledger refused to grant tokens to the hall.", "budget", budget, "code", reply.GetCode().String())
 		return false, nil
 	}
-	// The copy may still be replaying its log after a restart: it is waited for
-	// until it shows this very grant.
-	total := k.grantedIn(reply.GetBudget())
-	loop.Until(ctx, pollEvery, func() bool {
+	// After a restart the local replica may still be replaying its log.
+	total := k.grantedTotal(reply.GetBudget())
+	loop.Until(ctx, pollInterval, func() bool {
 		return k.ledger.Granted(sumachead.BudgetID(budget), k.Config.Hall, k.identity.GetIncarnation()) >= total
 	})
 	return true, trace.Wrap(ctx.Err())
 }
 
-// grantedIn returns what a budget's state says was granted to this journal.
-func (k *Keeper) grantedIn(b *wire.BudgetState) sumachead.Tokens {
+// grantedTotal returns the total granted to this journal according to a budget's
+// state.
+func (k *Keeper) grantedTotal(b *wire.BudgetState) sumachead.Tokens {
 	for _, a := range b.GetAllotments() {
 		if a.GetHall() == string(k.Config.Hall) && a.GetKeeperIncarnation() == k.identity.GetIncarnation() {
 			return sumachead.Tokens(a.GetGrantedTotal())
@@ -154,10 +160,10 @@
 func (s *hallService) Reassign(r *wire.ReassignRequest, reply *wire.LedgerReply) error {
 	r.NowUnixNano = time.Now().UnixNano()
 	got, err := s.keeper.journal.Reassign(r)
-	return s.keeper.hallReply("reassign", got, err, reply)
+	return s.keeper.copyJournalReply("reassign", got, err, reply)
 }
 
-// Settle ends entries of the journal.
+// Settle settles entries of the journal.
 func (s *hallService) Settle(b *wire.SettleBatch, reply *wire.LedgerReplies) error {
 	now := time.Now().UnixNano()
 	for _, x := range b.GetSettles() {
@@ -165,7 +171,7 @@
 	}
 	got, err := s.keeper.journal.Settle(b)
 	if err == nil {
-		err = s.keeper.settleLost(b, got)
+		err = s.keeper.settleLostEntries(b, got)
 	}
 	for _, r := range got {
 		s.keeper.metrics.journalReplies.WithLabelValues("settle", r.GetCode().String()).Inc()
@@ -174,18 +180,18 @@
 	return err
 }
 
-// Topup takes tokens that were bought while the hall is cut off. The id must
-// belong to the hall, so that no other side takes it too.
+// Topup credits tokens that were bought while the hall is cut off. The id must
+// belong to the hall, so that no other partition credits it too.
 func (s *hallService) Topup(r *wire.HallTopupRequest, _ *wire.Empty) error {
 	k := s.keeper
 	if keeperclient.HallOf(r.GetTopupId(), k.Config.Keepers) != k.Config.Hall {
-		return errForeignTopup
+		return errTopupOfOtherHall
 	}
 	return k.journal.Topup(sumachead.BudgetID(r.GetBudget()), r.GetTopupId(), sumachead.Tokens(r.GetTokens()))
 }
 
-// Recall gives unspent tokens back and brings the record to the ledger before
-// it answers.
+// Recall returns unspent tokens and merges the record into the ledger before it
+// replies.
 func (s *hallService) Recall(r *wire.RecallRequest, _ *wire.Empty) error {
 	k := s.keeper
 	n, err := k.journal.Return(sumachead.BudgetID(r.GetBudget()), sumachead.Tokens(r.GetAmount()))
@@ -198,40 +204,41 @@
 }
 
 // reserveCutOff serves a reservation from the hall's own account while the
-// ledger has no leader. An error means that the caller should try on.
+// ledger has no leader. An error means that the caller should retry.
 func (k *Keeper) reserveCutOff(r *wire.ReserveRequest, reply *wire.LedgerReply) error {
-	lost := k.money.leaderlessFor(time.Now())
+	leaderless := k.ledgerGroup.leaderlessFor(time.Now())
 	noLeader := keeperclient.EncodeError(&raft.NotLeaderError{})
-	if lost == 0 || !k.holds || r.GetHall() != string(k.Config.Hall) {
+	if leaderless == 0 || !k.holdsJournal || r.GetHall() != string(k.Config.Hall) {
 		return noLeader
 	}
 	reply.Partial = true
 	if e := k.ledger.Entry(sumachead.WorkspaceID(r.GetWorkspace()), sumachead.RequestKey(r.GetKey())); e != nil &&
 		e.GetHall() == "" && e.GetState() != wire.EntryState_ENTRY_STATE_RELEASED {
-		return k.knownElsewhere(e, r, lost, reply)
+		return k.replyFromLedgerEntry(e, r, leaderless, reply)
 	}
 	if r.GetNotRepeatable() {
-		// The other side may have claimed the key.
-		if lost < cutOffAfter {
+		// Another partition may have claimed the key.
+		if leaderless < cutOffDelay {
 			return noLeader
 		}
 		reply.Code = wire.LedgerCode_LEDGER_CODE_CLAIM_UNAVAILABLE
 		return nil
 	}
 	got, err := k.journal.Reserve(r)
-	if err == nil && got.GetCode() == wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED && lost < cutOffAfter {
+	if err == nil && got.GetCode() == wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED && leaderless < cutOffDelay {
 		return noLeader
 	}
 	if err == nil {
-		got, err = k.reserveWithRoom(r, got)
+		got, err = k.reserveWhenTokensFree(r, got)
 	}
-	return k.hallReply("reserve_cut_off", got, err, reply)
+	return k.copyJournalReply("reserve_cut_off", got, err, reply)
 }
 
-// knownElsewhere answers for a key whose entry is in the ledger: its state
-// can't be changed now, but a finished answer can be fetched.
-func (k *Keeper) knownElsewhere(e *wire.Entry, r *wire.ReserveRequest, lost time.Duration, reply *wire.LedgerReply) error {
-	if lost < cutOffAfter {
+// replyFromLedgerEntry replies for a key that has an entry in the ledger. The
+// entry cannot change while there is no leader, but a finished response can be
+// fetched.
+func (k *Keeper) replyFromLedgerEntry(e *wire.Entry, r *wire.ReserveRequest, leaderless time.Duration, reply *wire.LedgerReply) error {
+	if leaderless < cutOffDelay {
 		return keeperclient.EncodeError(&raft.NotLeaderError{})
 	}
 	code, fresh := ledger.Claim(e, r)
--- a/internal/keeper/halltopups.go
+++ b/internal/keeper/halltopups.go
@@ -9,18 +9,19 @@
 	"sumachead/internal/loop"
 )
 
-const topupsEvery = 500 * time.Millisecond
+const topupsInterval = 500 * time.Millisecond
 
-// hallTopupsLoop writes top-ups that halls took while cut off into the tree.
+// hallTopupsLoop copies top-ups that halls accepted while cut off into the
+// settings tree.
 func (k *Keeper) hallTopupsLoop(ctx context.Context) error {
-	return loop.Every(ctx, topupsEvery, func() {
-		if !k.settings.node.Leading() {
+	return loop.Every(ctx, topupsInterval, func() {
+		if !k.settingsGroup.node.Leading() {
 			return
 		}
 		for budget, topups := range k.ledger.HallTopups() {
 			for id, tokens := range topups {
 				if err := k.recordTopup(ctx, budget, id, tokens); err != nil {
-					k.Log.Warn("A hall's top-up was not written into the tree.", "budget", budget, "topup", id, "error", err)
+					k.Log.Warn("Writing a hall's top-up to the settings tree failed.", "budget", budget, "topup", id, "error", err)
 				}
 			}
 		}
@@ -28,7 +29,7 @@
 }
 
 func (k *Keeper) recordTopup(ctx context.Context, budget, id string, tokens int64) error {
-	tree, revision, _ := k.machine.Current()
+	tree, revision, _ := k.settingsMachine.Current()
 	if _, ok := tree.Objects().Topups[budget][id]; ok {
 		return nil
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,10 +1,10 @@
-// Package keeper is the role of the hosts with disks: it keeps the settings
-// tree and the ledger.
+// Package keeper implements the keeper role, which stores the settings tree and
+// the ledger on the hosts with disks.
 //
-// A [Keeper] runs one member of each replicated group, serves the calls of
-// routers, agents, the tool and other keepers, and drives a set of controllers
-// that act where this keeper leads: totals (settings to ledger), expiry, and
-// members (promotion of keepers that have caught up).
+// A [Keeper] runs one member of each Raft group and serves the calls of routers,
+// agents, the command-line tool and other keepers. It also runs a set of
+// controllers that act while this keeper leads, such as totals (from settings to
+// ledger), expiry of entries, and promotion of learners that have caught up.
 package keeper
 
 import (
@@ -32,11 +32,11 @@
 	"sumachead/internal/telemetry"
 )
 
-// stopTimeout bounds the hand-over of leadership on a planned stop.
+// stopTimeout bounds the leadership transfer on a planned stop.
 const stopTimeout = 2 * time.Second
 
-// pollEvery is how often a state that gives no sign is looked at.
-const pollEvery = 10 * time.Millisecond
+// pollInterval is how often state without change notifications is polled.
+const pollInterval = 10 * time.Millisecond
 
 // Keeper is one keeper process. Set the exported fields before Run.
 type Keeper struct {
@@ -45,29 +45,29 @@
 	RPC    *rpc.Server
 	Pool   *rpc.Pool
 
-	// opened: the fields below are set, up to nodes. Health and metrics are
-	// served before that.
-	opened   atomic.Bool
-	identity *wire.Identity
-	machine  *settings.Machine
-	ledger   *ledger.Machine
-	settings *group
-	money    *group
-	nodes    *nodeTable
-	metrics  *metrics
-	clients  *keeperclient.Client
-
-	// holds: this keeper holds its hall's journal.
-	holds      bool
-	allotments allot.Policy
-	journal    *journal.Journal
-	demand     *allot.Demand
-	recalls    *recallState
-	mergeMu    sync.Mutex // guards merged, and keeps merges in order
-	merged     uint64
+	// groupsOpen is set once the fields below, up to nodes, are set. Health and
+	// metrics are served before that.
+	groupsOpen      atomic.Bool
+	identity        *wire.Identity
+	settingsMachine *settings.Machine
+	ledger          *ledger.Machine
+	settingsGroup   *group
+	ledgerGroup     *group
+	nodes           *nodeTable
+	metrics         *metrics
+	clients         *keeperclient.Client
+
+	// holdsJournal reports whether this keeper holds the journal of its hall.
+	holdsJournal bool
+	allotPolicy  allot.Policy
+	journal      *journal.Journal
+	demand       *allot.Demand
+	recalls      *recallState
+	mergeMu      sync.Mutex // guards mergedSeq and serializes merges
+	mergedSeq    uint64
 }
 
-// Run serves until ctx ends, then hands leadership over and stops.
+// Run serves until ctx is done, then transfers leadership and stops.
 func (k *Keeper) Run(ctx context.Context) error {
 	probe := &probeService{keeper: k}
 	if err := k.openIdentity(probe); err != nil {
@@ -77,7 +77,7 @@
 	k.nodes = newNodeTable()
 	k.clients = &keeperclient.Client{Keepers: k.Config.Keepers, Pool: k.Pool, Hall: k.Config.Hall}
 	k.demand, k.recalls = &allot.Demand{}, &recallState{}
-	k.allotments = allot.New(k.Config.Allotments)
+	k.allotPolicy = allot.New(k.Config.Allotments)
 	if err := k.listen(probe); err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 	defer stop()
 	tasks, work := errgroup.WithContext(work)
 	tasks.Go(k.RPC.Run)
-	tasks.Go(func() error { return k.serveHTTP(work) })
-	if err := k.found(ctx, probe); err != nil {
+	tasks.Go(func() error { return k.serveMonitoring(work) })
+	if err := k.bootstrap(ctx, probe); err != nil {
 		stop()
 		k.RPC.Close()
 		return trace.NewAggregate(err, tasks.Wait())
@@ -97,7 +97,7 @@
 	k.Log.Info("Serving.", "incarnation", k.identity.GetIncarnation())
 	select {
 	case <-ctx.Done():
-		k.handOver()
+		k.resignLeadership()
 	case <-work.Done():
 	}
 	stop()
@@ -112,16 +112,16 @@
 	return k.RPC.Listen()
 }
 
-// openGroups opens the groups' folders and registers the services that need
-// them.
+// openGroups opens the Raft groups and the journal, and registers the services
+// that need them.
 func (k *Keeper) openGroups() error {
-	k.machine = settings.NewMachine(sessionOf(k.identity.GetFounders()))
+	k.settingsMachine = settings.NewMachine(sessionID(k.identity.GetFounders()))
 	k.ledger = ledger.NewMachine()
 	var err error
-	if k.settings, err = k.openGroup(keeperclient.GroupSettings, k.machine); err != nil {
+	if k.settingsGroup, err = k.openGroup(keeperclient.GroupSettings, k.settingsMachine); err != nil {
 		return err
 	}
-	if k.money, err = k.openGroup(keeperclient.GroupLedger, k.ledger); err != nil {
+	if k.ledgerGroup, err = k.openGroup(keeperclient.GroupLedger, k.ledger); err != nil {
 		return err
 	}
 	if err := k.openJournal(); err != nil {
@@ -133,7 +133,7 @@
 		{"Ledger", &ledgerService{k}},
 		{"Keeper", &statusService{k}},
 	}
-	if k.holds {
+	if k.holdsJournal {
 		services = append(services, service{"Hall", &hallService{k}})
 	}
 	for _, s := range services {
@@ -144,17 +144,17 @@
 	return nil
 }
 
-// service is a receiver of calls under its name.
+// service is an RPC receiver and the name it is registered under.
 type service struct {
 	name     string
 	receiver any
 }
 
-// openJournal opens the hall's journal where this keeper holds it.
+// openJournal opens the hall's journal if this keeper holds it.
 func (k *Keeper) openJournal() error {
 	holder, _ := keeperclient.Holder(k.Config.Hall, k.Config.Keepers)
-	k.holds = holder.ID == string(k.Config.Node)
-	if !k.holds {
+	k.holdsJournal = holder.ID == string(k.Config.Node)
+	if !k.holdsJournal {
 		return nil
 	}
 	incarnation := k.identity.GetIncarnation()
@@ -165,8 +165,9 @@
 	return k.journal.Open()
 }
 
-// sessionOf names the history of revisions that the founders started.
-func sessionOf(founders *wire.Members) string {
+// sessionID returns an identifier of the revision history that the founders
+// started.
+func sessionID(founders *wire.Members) string {
 	h := sha256.New()
 	for _, m := range founders.GetMembers() {
 		h.Write([]byte(m.GetId() + "/" + m.GetIncarnation() + "\n"))
@@ -175,7 +176,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:sessionBytes])
 }
 
-func (k *Keeper) groups() []*group { return []*group{k.settings, k.money} }
+func (k *Keeper) groups() []*group { return []*group{k.settingsGroup, k.ledgerGroup} }
 
 func (k *Keeper) group(id string) *group {
 	for _, g := range k.groups() {
@@ -186,9 +187,9 @@
 	return nil
 }
 
-func (k *Keeper) serveHTTP(ctx context.Context) error {
+func (k *Keeper) serveMonitoring(ctx context.Context) error {
 	ready := func() error {
-		if !k.opened.Load() {
+		if !k.groupsOpen.Load() {
 			return trace.ConnectionProblem(nil, "the groups are not open yet")
 		}
 		for _, g := range k.groups() {
--- a/internal/keeper/ledgerservice.go
+++ b/internal/keeper/ledgerservice.go
@@ -13,18 +13,18 @@
 	"sumachead/internal/ledger"
 )
 
-// roomWait bounds how long one call of a reservation waits for requests under
-// way to give back what they reserved and did not use. It is less than the time
-// after which a caller takes a keeper for dead; the caller asks again.
-const roomWait = 400 * time.Millisecond
+// maxTokenWait bounds how long one call of Reserve waits for requests in flight
+// to release tokens that they reserved and did not use. It is shorter than the
+// timeout after which a caller considers a keeper dead; the caller retries.
+const maxTokenWait = 400 * time.Millisecond
 
-// proposeTimeout bounds how long a caller's command waits for a quorum.
+// proposeTimeout bounds how long a command waits for a quorum.
 const proposeTimeout = 2 * time.Second
 
-// ledgerService serves the ledger to routers, agents and the tool.
+// ledgerService serves the ledger to routers, agents and the command-line tool.
 type ledgerService struct{ keeper *Keeper }
 
-// propose replicates a command of the ledger and returns its result.
+// propose replicates a ledger command and returns its result.
 func (k *Keeper) propose(ctx context.Context, c *wire.LedgerCommand) (any, error) {
 	data, err := proto.Marshal(c)
 	if err != nil {
@@ -32,11 +32,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	result, err := k.money.node.Propose(ctx, data)
+	result, err := k.ledgerGroup.node.Propose(ctx, data)
 	return result, keeperclient.EncodeError(err)
 }
 
-// proposeReply is propose for the commands that are answered by a LedgerReply.
+// proposeReply is like propose for commands whose result is a LedgerReply.
 func (k *Keeper) proposeReply(c *wire.LedgerCommand, reply *wire.LedgerReply) error {
 	result, err := k.propose(context.Background(), c)
 	if err != nil {
@@ -47,12 +47,12 @@
 	return nil
 }
 
-// Reserve reserves a request's cost and claims its key.
+// Reserve reserves the maximum cost of a request and claims its key.
 func (s *ledgerService) Reserve(r *wire.ReserveRequest, reply *wire.LedgerReply) error {
 	k := s.keeper
 	now := time.Now()
 	r.NowUnixNano = now.UnixNano()
-	if k.money.leaderlessFor(now) > 0 {
+	if k.ledgerGroup.leaderlessFor(now) > 0 {
 		return k.reserveCutOff(r, reply)
 	}
 	c := &wire.LedgerCommand{Command: &wire.LedgerCommand_Reserve{Reserve: r}}
@@ -60,13 +60,13 @@
 	if err == nil {
 		k.demand.Note(r.GetBudget(), r.GetHall(), r.GetAmount(), now)
 	}
-	if err == nil && k.recallFor(r.GetBudget(), r.GetAmount(), "", reply) {
+	if err == nil && k.recallOnShortfall(r.GetBudget(), r.GetAmount(), "", reply) {
 		err = k.proposeReply(c, reply)
 	}
 	available := func() (sumachead.Tokens, sumachead.Tokens) {
 		return k.ledger.Available(sumachead.BudgetID(r.GetBudget()))
 	}
-	for deadline := now.Add(roomWait); err == nil && k.awaitRoom(&k.ledger.Room, r, reply, deadline, available); {
+	for deadline := now.Add(maxTokenWait); err == nil && k.awaitTokens(&k.ledger.Room, r, reply, deadline, available); {
 		err = k.proposeReply(c, reply)
 	}
 	if err == nil {
@@ -75,9 +75,10 @@
 	return err
 }
 
-// awaitRoom waits for a budget that is short only because of the upper bounds
-// of requests under way; it reports whether there is room now.
-func (k *Keeper) awaitRoom(room *ledger.Room, r *wire.ReserveRequest, reply *wire.LedgerReply, deadline time.Time, available func() (sumachead.Tokens, sumachead.Tokens)) bool {
+// awaitTokens waits for free tokens if the budget is short only because requests
+// in flight reserve their maximum cost. It reports whether the amount is
+// available now.
+func (k *Keeper) awaitTokens(room *ledger.Room, r *wire.ReserveRequest, reply *wire.LedgerReply, deadline time.Time, available func() (sumachead.Tokens, sumachead.Tokens)) bool {
 	if reply.GetCode() != wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED {
 		return false
 	}
@@ -85,7 +86,7 @@
 	if free, reserved := available(); free+reserved < amount {
 		return false
 	}
-	k.metrics.roomWaits.Inc()
+	k.metrics.reserveWaits.Inc()
 	reply.RoomSoon = true
 	return room.Await(deadline, func() bool {
 		free, _ := available()
@@ -103,7 +104,7 @@
 	return err
 }
 
-// Settle ends entries.
+// Settle settles entries of the ledger.
 func (s *ledgerService) Settle(b *wire.SettleBatch, reply *wire.LedgerReplies) error {
 	now := time.Now().UnixNano()
 	for _, x := range b.GetSettles() {
@@ -120,9 +121,9 @@
 	return nil
 }
 
-// Lookup shows budgets and entries; the answer is linearizable.
+// Lookup returns budgets and entries. The read is linearizable.
 func (s *ledgerService) Lookup(r *wire.LookupRequest, reply *wire.LookupReply) error {
-	if err := s.keeper.money.readBarrier(); err != nil {
+	if err := s.keeper.ledgerGroup.readBarrier(); err != nil {
 		return err
 	}
 	proto.Merge(reply, s.keeper.ledger.Lookup(r))
--- a/internal/keeper/lostjournal.go
+++ b/internal/keeper/lostjournal.go
@@ -11,20 +11,20 @@
 	"sumachead/internal/ledger"
 )
 
-// errNotIntroduced has the caller try again: the ledger does not know yet that
-// this journal has taken the place of a lost one.
-var errNotIntroduced = errors.New("the ledger does not know this journal yet")
+// errJournalNotRegistered makes the caller retry: the ledger has not yet learned
+// that this journal replaces a lost one.
+var errJournalNotRegistered = errors.New("the ledger does not know this journal yet")
 
-// answerForLostJournal answers for keys that an earlier journal of this hall
-// may have claimed: those that it merged are in the ledger, and of those that
-// it did not nothing is known. They may have run, until they would have been
-// forgotten anyway.
-func (k *Keeper) answerForLostJournal(r *wire.ReserveRequest, reply *wire.LedgerReply, now time.Time) bool {
+// replyForLostJournal replies for keys that a lost journal of this hall may have
+// claimed. Keys that it merged are in the ledger. Any other key may have run as
+// well, so it stays unavailable until its entry would have expired. The result
+// reports whether reply was filled in.
+func (k *Keeper) replyForLostJournal(r *wire.ReserveRequest, reply *wire.LedgerReply, now time.Time) bool {
 	if !k.identity.GetJoined() || k.journal.Entry(r.GetWorkspace(), r.GetKey()) != nil {
 		return false
 	}
-	held := now.Before(time.Unix(0, k.identity.GetJoinedUnixNano()).Add(EntryRetention))
-	e := k.ledgerEntry(r.GetWorkspace(), r.GetKey(), held)
+	withinRetention := now.Before(time.Unix(0, k.identity.GetJoinedUnixNano()).Add(EntryRetention))
+	e := k.ledgerEntry(r.GetWorkspace(), r.GetKey(), withinRetention)
 	if e != nil && e.GetState() != wire.EntryState_ENTRY_STATE_RELEASED {
 		reply.Code, _ = ledger.Claim(e, r)
 		if reply.GetCode() == wire.LedgerCode_LEDGER_CODE_GRANTED {
@@ -33,15 +33,15 @@
 		reply.Entry = e
 		return true
 	}
-	if held {
+	if withinRetention {
 		reply.Code, reply.Partial = wire.LedgerCode_LEDGER_CODE_CLAIM_UNAVAILABLE, true
 		return true
 	}
 	return false
 }
 
-// ledgerEntry returns a key's entry in the ledger: from this keeper's copy or,
-// as that may still be catching up, from the leader.
+// ledgerEntry returns the ledger's entry of a key, from the local replica or,
+// if ask is set, from the leader, since the replica may still be catching up.
 func (k *Keeper) ledgerEntry(workspace, key string, ask bool) *wire.Entry {
 	e := k.ledger.Entry(sumachead.WorkspaceID(workspace), sumachead.RequestKey(key))
 	if e != nil || !ask {
@@ -57,9 +57,9 @@
 	return reply.GetEntries()[0]
 }
 
-// settleLost passes outcomes of entries that a lost journal may have had to the
-// ledger.
-func (k *Keeper) settleLost(b *wire.SettleBatch, got []*wire.LedgerReply) error {
+// settleLostEntries forwards settlements of entries that a lost journal may have
+// held to the ledger.
+func (k *Keeper) settleLostEntries(b *wire.SettleBatch, got []*wire.LedgerReply) error {
 	lost := &wire.SettleBatch{}
 	for i, s := range b.GetSettles() {
 		if got[i].GetCode() == wire.LedgerCode_LEDGER_CODE_NO_ENTRY && s.GetOwner() == "" {
@@ -77,7 +77,7 @@
 	}
 	for _, r := range replies.GetReplies() {
 		if r.GetCode() == wire.LedgerCode_LEDGER_CODE_EXISTS {
-			return errNotIntroduced
+			return errJournalNotRegistered
 		}
 	}
 	return nil
--- a/internal/keeper/merge.go
+++ b/internal/keeper/merge.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	mergeEvery   = 50 * time.Millisecond
-	mergeBatch   = 1000
-	mergeTimeout = 2 * time.Second
+	mergeInterval = 50 * time.Millisecond
+	maxMergeBatch = 1000
+	mergeTimeout  = 2 * time.Second
 )
 
-// mergeLoop brings the journal's records to the ledger while it has a leader.
+// mergeLoop merges the journal's records into the ledger while the ledger has a
+// leader.
 func (k *Keeper) mergeLoop(ctx context.Context) error {
 	if k.identity.GetJoined() {
 		if err := k.journal.Introduce(); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	return loop.Every(ctx, mergeEvery, func() {
-		if k.money.node.Status().GetLeader() == "" {
+	return loop.Every(ctx, mergeInterval, func() {
+		if k.ledgerGroup.node.Status().GetLeader() == "" {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, mergeTimeout)
@@ -35,7 +36,7 @@
 	})
 }
 
-// mergeOnce brings all synced records to the ledger.
+// mergeOnce sends all synced records to the ledger.
 func (k *Keeper) mergeOnce(ctx context.Context) error {
 	k.mergeMu.Lock()
 	defer k.mergeMu.Unlock()
@@ -43,9 +44,9 @@
 		h := k.ledger.Hall(k.Config.Hall)
 		if h.GetKeeperIncarnation() == k.identity.GetIncarnation() {
 			k.journal.Merged(h.GetMergedSeq())
-			k.merged = max(k.merged, h.GetMergedSeq())
+			k.mergedSeq = max(k.mergedSeq, h.GetMergedSeq())
 		}
-		records := k.journal.Unmerged(k.merged, mergeBatch)
+		records := k.journal.Unmerged(k.mergedSeq, maxMergeBatch)
 		if len(records) == 0 {
 			return nil
 		}
@@ -55,17 +56,17 @@
 		if err != nil {
 			return err
 		}
-		k.merged = records[len(records)-1].GetSeq()
+		k.mergedSeq = records[len(records)-1].GetSeq()
 	}
 }
 
-// Merge takes in a hall's records.
+// Merge replicates the journal records of a hall.
 func (s *ledgerService) Merge(r *wire.MergeRequest, _ *wire.Empty) error {
 	_, err := s.keeper.propose(context.Background(), &wire.LedgerCommand{Command: &wire.LedgerCommand_Merge{Merge: r}})
 	return err
 }
 
-// WriteOff gives up what a lost journal held.
+// WriteOff counts the escrow of a lost journal as spent.
 func (s *ledgerService) WriteOff(w *wire.WriteOff, _ *wire.Empty) error {
 	_, err := s.keeper.propose(context.Background(), &wire.LedgerCommand{Command: &wire.LedgerCommand_WriteOff{WriteOff: w}})
 	return err
--- a/internal/keeper/metrics.go
+++ b/internal/keeper/metrics.go
@@ -6,12 +6,12 @@
 	"sumachead/internal/telemetry"
 )
 
-// metrics are a keeper's counters.
+// metrics holds a keeper's Prometheus metrics.
 type metrics struct {
 	registry       *prometheus.Registry
 	ledgerReplies  *prometheus.CounterVec
 	journalReplies *prometheus.CounterVec
-	roomWaits      prometheus.Counter
+	reserveWaits   prometheus.Counter
 }
 
 func newMetrics(k *Keeper) *metrics {
@@ -22,14 +22,14 @@
 	m.journalReplies = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "sumachead_journal_replies_total", Help: "Calls to the hall's journal by method and outcome.",
 	}, []string{"method", "code"})
-	m.roomWaits = prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "sumachead_reserve_waits_total", Help: "Reservations that waited for requests under way to settle.",
+	m.reserveWaits = prometheus.NewCounter(prometheus.CounterOpts{
+		Name: "sumachead_reserve_waits_total", Help: "Reservations that waited for requests in flight to settle.",
 	})
-	r.MustRegister(m.ledgerReplies, m.journalReplies, m.roomWaits)
+	r.MustRegister(m.ledgerReplies, m.journalReplies, m.reserveWaits)
 	r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "sumachead_ledger_violations_total", Help: "Broken invariants of the ledger; must stay 0.",
 	}, func() float64 {
-		if !k.opened.Load() {
+		if !k.groupsOpen.Load() {
 			return 0
 		}
 		return float64(k.ledger.Violations())
--- a/internal/keeper/nodes.go
+++ b/internal/keeper/nodes.go
@@ -11,57 +11,56 @@
 	"sumachead/internal/settings"
 )
 
-// forgetNodeAfter is how long status shows a node that has gone silent.
-const forgetNodeAfter = time.Hour
+// nodeRetention is how long the status shows a node after its last sync call.
+const nodeRetention = time.Hour
 
-// nodeTable is what this keeper knows of routers and agents. It is soft state:
-// a new leader waits out one lease before it trusts the table.
+// nodeTable tracks routers and agents by their sync calls. It is soft state: a
+// new leader waits for one lease duration before it trusts the table.
 type nodeTable struct {
-	mu      sync.Mutex // guards the fields below
-	nodes   map[string]*nodeEntry
-	term    uint64
-	started time.Time
-	changed chan struct{}
-	// silent is when each hall's keeper was last seen to be out of contact
-	// with this leader.
-	silent map[sumachead.HallID]time.Time
+	mu        sync.Mutex // guards the fields below
+	nodes     map[string]*nodeEntry
+	term      uint64
+	termStart time.Time
+	changed   chan struct{}
+	// lastUnreachable is when each hall's keeper was last found disconnected
+	// from this leader.
+	lastUnreachable map[sumachead.HallID]time.Time
 }
 
 type nodeEntry struct {
-	request  *wire.SyncRequest
-	seen     time.Time
-	leasedTo time.Time
+	request     *wire.SyncRequest
+	lastSeen    time.Time
+	leaseExpiry time.Time
 }
 
 func newNodeTable() *nodeTable {
 	return &nodeTable{
-		nodes: make(map[string]*nodeEntry), changed: make(chan struct{}), started: time.Now(),
-		silent: make(map[sumachead.HallID]time.Time),
+		nodes: make(map[string]*nodeEntry), changed: make(chan struct{}), termStart: time.Now(),
+		lastUnreachable: make(map[sumachead.HallID]time.Time),
 	}
 }
 
-// lead notes since when this keeper leads: a term that is new to the table has
-// only just begun, as far as leases of the leader before are concerned.
-// While the tree is still empty no node can do work, so there are no leases
-// that matter.
-func (t *nodeTable) lead(term uint64, emptyTree bool, now time.Time) {
+// startTerm records the term that this keeper leads. Leases of the previous
+// leader are counted from when the table first sees the term. While the settings
+// tree is empty, no node can work, so there are no such leases.
+func (t *nodeTable) startTerm(term uint64, emptyTree bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leadLocked(term, now)
+	t.startTermLocked(term, now)
 	if emptyTree {
-		t.started = now.Add(-settings.CurrencyLease)
+		t.termStart = now.Add(-settings.CurrencyLease)
 	}
 }
 
-func (t *nodeTable) leadLocked(term uint64, now time.Time) {
+func (t *nodeTable) startTermLocked(term uint64, now time.Time) {
 	if t.term != term {
-		t.term, t.started = term, now
+		t.term, t.termStart = term, now
 	}
 }
 
-// saw notes a node's position. A node asks with the revision that it has in
-// force, so that its next question confirms an answer.
-func (t *nodeTable) saw(r *wire.SyncRequest, now time.Time) {
+// observe records the revision of a node. A node sends the revision that it
+// applies, so its next call acknowledges the previous reply.
+func (t *nodeTable) observe(r *wire.SyncRequest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.nodes[r.GetNode()]
@@ -69,60 +68,61 @@
 		e = &nodeEntry{}
 		t.nodes[r.GetNode()] = e
 	}
-	e.request, e.seen = r, now
+	e.request, e.lastSeen = r, now
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// lease notes that a node is about to be told that it is current.
-func (t *nodeTable) lease(r *wire.SyncRequest, now time.Time) {
+// recordLease records that a node is about to be told that it is current.
+func (t *nodeTable) recordLease(r *wire.SyncRequest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.nodes[r.GetNode()]; e != nil {
-		e.leasedTo = now.Add(settings.CurrencyLease)
+		e.leaseExpiry = now.Add(settings.CurrencyLease)
 	}
 }
 
-// contact notes which halls' keepers are in contact with this leader.
-func (t *nodeTable) contact(halls map[sumachead.HallID]bool, now time.Time) {
+// recordContact records which halls' keepers are connected to this leader.
+func (t *nodeTable) recordContact(halls map[sumachead.HallID]bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for h, ok := range halls {
 		if !ok {
-			t.silent[h] = now
+			t.lastUnreachable[h] = now
 		}
 	}
 }
 
-// silentHalls lists those of the halls that may be serving cut off: their
-// keepers have been out of contact within the time of a lease.
-func (t *nodeTable) silentHalls(halls []sumachead.HallID, now time.Time) []string {
+// unreachableHalls lists those of the halls that may be serving while cut off:
+// their keepers were disconnected at some time within the last lease duration.
+func (t *nodeTable) unreachableHalls(halls []sumachead.HallID, now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var names []string
 	for _, h := range halls {
-		if now.Before(t.silent[h].Add(settings.CurrencyLease)) {
+		if now.Before(t.lastUnreachable[h].Add(settings.CurrencyLease)) {
 			names = append(names, "data hall "+string(h))
 		}
 	}
 	return names
 }
 
-// missing lists the nodes that may work without the revision, and a channel
-// that closes when a node reports. The term is the one that this keeper leads.
-func (t *nodeTable) missing(revision, term uint64, now time.Time) ([]string, <-chan struct{}) {
+// outdatedNodes lists the nodes that may still work with an older revision, and
+// returns a channel that is closed at the next sync call. The term is the one
+// that this keeper leads.
+func (t *nodeTable) outdatedNodes(revision, term uint64, now time.Time) ([]string, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leadLocked(term, now)
+	t.startTermLocked(term, now)
 	var names []string
-	if now.Before(t.started.Add(settings.CurrencyLease)) {
+	if now.Before(t.termStart.Add(settings.CurrencyLease)) {
 		names = append(names, "leases of the leader before")
 	}
 	for name, e := range t.nodes {
 		if e.request.GetRevision() >= revision {
 			continue
 		}
-		if now.Before(e.leasedTo) {
+		if now.Before(e.leaseExpiry) {
 			names = append(names, name)
 		}
 	}
@@ -130,19 +130,19 @@
 	return names, t.changed
 }
 
-// status lists the nodes that were heard of lately.
+// status lists the nodes seen within nodeRetention.
 func (t *nodeTable) status(now time.Time) []*wire.NodeStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*wire.NodeStatus
 	for name, e := range t.nodes {
-		if now.Sub(e.seen) > forgetNodeAfter {
+		if now.Sub(e.lastSeen) > nodeRetention {
 			delete(t.nodes, name)
 			continue
 		}
 		out = append(out, &wire.NodeStatus{
 			Node: name, Role: e.request.GetRole(), Hall: e.request.GetHall(), Revision: e.request.GetRevision(),
-			AgeMillis: now.Sub(e.seen).Milliseconds(), Address: e.request.GetAddress(),
+			AgeMillis: now.Sub(e.lastSeen).Milliseconds(), Address: e.request.GetAddress(),
 		})
 	}
 	slices.SortFunc(out, func(a, b *wire.NodeStatus) int { return cmp.Compare(a.GetNode(), b.GetNode()) })
--- a/internal/keeper/recall.go
+++ b/internal/keeper/recall.go
@@ -15,50 +15,50 @@
 
 const (
 	recallTimeout = 300 * time.Millisecond
-	// recallDownFor is how long a hall that did not answer a recall is left
-	// alone.
-	recallDownFor = time.Second
-	// recallFactor is how many requests of the size at hand a recall covers.
+	// recallBackoff is how long no recalls are sent to a hall after one failed.
+	recallBackoff = time.Second
+	// recallFactor is the number of requests of the current size that one recall
+	// covers.
 	recallFactor = 16
 )
 
-// Grant gives tokens to a hall's journal, recalling them from other halls if
-// need be.
+// Grant grants tokens to the journal of a hall, and recalls them from other halls
+// if necessary.
 func (s *ledgerService) Grant(g *wire.Grant, reply *wire.LedgerReply) error {
 	c := &wire.LedgerCommand{Command: &wire.LedgerCommand_Grant{Grant: g}}
 	err := s.keeper.proposeReply(c, reply)
-	if err == nil && s.keeper.recallFor(g.GetBudget(), g.GetAmount(), g.GetHall(), reply) {
+	if err == nil && s.keeper.recallOnShortfall(g.GetBudget(), g.GetAmount(), g.GetHall(), reply) {
 		return s.keeper.proposeReply(c, reply)
 	}
 	return err
 }
 
-// recallFor recalls tokens when a budget refused although other halls hold
-// some; it reports whether trying again makes sense.
-func (k *Keeper) recallFor(budget string, amount int64, but string, reply *wire.LedgerReply) bool {
-	if !k.allotments.Recalls() || reply.GetCode() != wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED || reply.GetBudget().GetAllotted() == 0 {
+// recallOnShortfall recalls tokens if a budget was exhausted while other halls
+// hold some of it. It reports whether a retry may succeed.
+func (k *Keeper) recallOnShortfall(budget string, amount int64, except string, reply *wire.LedgerReply) bool {
+	if !k.allotPolicy.Recalls() || reply.GetCode() != wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED || reply.GetBudget().GetAllotted() == 0 {
 		return false
 	}
-	recalled, _, _ := k.recalls.group.Do(budget, func() (any, error) {
-		return k.recallAll(reply.GetBudget(), amount, but), nil
+	recalled, _, _ := k.recalls.calls.Do(budget, func() (any, error) {
+		return k.recallFromHalls(reply.GetBudget(), amount, except), nil
 	})
 	return recalled.(bool)
 }
 
-func (k *Keeper) recallAll(b *wire.BudgetState, amount int64, but string) bool {
+func (k *Keeper) recallFromHalls(b *wire.BudgetState, amount int64, except string) bool {
 	recalled := false
 	for _, a := range b.GetAllotments() {
-		if a.GetHeld() > 0 && a.GetHall() != but && k.recall(a, max(amount*recallFactor, a.GetHeld()/2)) {
+		if a.GetHeld() > 0 && a.GetHall() != except && k.recall(a, max(amount*recallFactor, a.GetHeld()/2)) {
 			recalled = true
 		}
 	}
 	return recalled
 }
 
-// recall asks one hall for tokens.
+// recall recalls tokens from one hall and reports whether that succeeded.
 func (k *Keeper) recall(a *wire.Allotment, amount int64) bool {
 	holder, ok := keeperclient.Holder(sumachead.HallID(a.GetHall()), k.Config.Keepers)
-	if !ok || !k.recalls.enter(holder.ID, time.Now()) || k.incarnationOf(holder.ID) != a.GetKeeperIncarnation() {
+	if !ok || !k.recalls.isAllowed(holder.ID, time.Now()) || k.incarnationOf(holder.ID) != a.GetKeeperIncarnation() {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), recallTimeout)
@@ -66,31 +66,31 @@
 	_, err := rpc.Call[wire.Empty](ctx, k.Pool.Get(holder.Address), "Hall.Recall",
 		&wire.RecallRequest{Budget: a.GetBudget(), Amount: amount})
 	if err != nil {
-		k.recalls.down(holder.ID, time.Now())
+		k.recalls.backOff(holder.ID, time.Now())
 	}
 	return err == nil
 }
 
-// recallState keeps recalls away from halls that do not answer.
+// recallState suppresses recalls to halls that recently failed to reply.
 type recallState struct {
-	// group lets those who need the same budget share one recall.
-	group singleflight.Group
+	// calls lets concurrent shortfalls of the same budget share one recall.
+	calls singleflight.Group
 
-	mu    sync.Mutex // guards until
-	until map[string]time.Time
+	mu           sync.Mutex // guards backoffUntil
+	backoffUntil map[string]time.Time
 }
 
-func (r *recallState) enter(id string, now time.Time) bool {
+func (r *recallState) isAllowed(id string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.After(r.until[id])
+	return now.After(r.backoffUntil[id])
 }
 
-func (r *recallState) down(id string, now time.Time) {
+func (r *recallState) backOff(id string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.until == nil {
-		r.until = make(map[string]time.Time)
+	if r.backoffUntil == nil {
+		r.backoffUntil = make(map[string]time.Time)
 	}
-	r.until[id] = now.Add(recallDownFor)
+	r.backoffUntil[id] = now.Add(recallBackoff)
 }
--- a/internal/keeper/settingsservice.go
+++ b/internal/keeper/settingsservice.go
@@ -16,23 +16,23 @@
 	"sumachead/internal/settings"
 )
 
-// maxSyncWait bounds how long a sync call is held.
+// maxSyncWait bounds how long a sync call waits for a new revision.
 const maxSyncWait = 2 * time.Second
 
-// acceptWait bounds how long a change waits to be in force everywhere. It is
-// more than the currency lease, after which a silent node has stopped itself.
-const acceptWait = settings.CurrencyLease + 3*time.Second
+// acceptTimeout bounds how long a change waits until all nodes apply it. It
+// exceeds the currency lease, after which an unreachable node has stopped itself.
+const acceptTimeout = settings.CurrencyLease + 3*time.Second
 
-// silentAfter is how long a keeper has no leader before it says that it is cut
-// off. A leader notices sooner that it has lost the keeper, and lets no change
-// pass for accepted in the time that nodes then go by the keeper's word.
-const silentAfter = 2 * raft.DefaultElection
+// cutOffReportDelay is how long a keeper has no leader before it reports that it
+// is cut off. A leader detects sooner that the keeper is disconnected, and accepts
+// no change while nodes may rely on such a report.
+const cutOffReportDelay = 2 * raft.DefaultElection
 
 // settingsService serves the settings tree to nodes and operators.
 type settingsService struct{ keeper *Keeper }
 
-// Change commits a change and answers once it is in force everywhere, or with
-// COMMITTED and the nodes it still waits for.
+// Change commits a change and replies once all nodes apply it, or with COMMITTED
+// and the nodes that do not apply it yet.
 func (s *settingsService) Change(r *wire.ChangeRequest, reply *wire.ChangeReply) error {
 	if r.GetChangeId() == "" {
 		return trace.BadParameter("a change needs an id")
@@ -41,10 +41,10 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	serving := s.keeper.cutOffHalls(r.GetHallsDown())
+	cutOff := s.keeper.cutOffHalls(r.GetHallsDown())
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	result, err := s.keeper.settings.node.Propose(ctx, data)
+	result, err := s.keeper.settingsGroup.node.Propose(ctx, data)
 	if err != nil {
 		return keeperclient.EncodeError(err)
 	}
@@ -52,9 +52,9 @@
 	if reply.GetStatus() != wire.ChangeStatus_CHANGE_STATUS_COMMITTED {
 		return nil
 	}
-	if concernsNodes(s.keeper.machine.ChangedBy(r)) {
-		serving = append(serving, s.keeper.cutOffHalls(r.GetHallsDown())...)
-		reply.WaitingFor = s.keeper.awaitNodes(reply.GetRevision(), serving)
+	if affectsNodes(s.keeper.settingsMachine.ChangedBy(r)) {
+		cutOff = append(cutOff, s.keeper.cutOffHalls(r.GetHallsDown())...)
+		reply.WaitingFor = s.keeper.awaitNodes(reply.GetRevision(), cutOff)
 	}
 	reply.WaitingFor = append(reply.WaitingFor, s.keeper.awaitLedger(reply.GetRevision())...)
 	if len(reply.GetWaitingFor()) == 0 {
@@ -63,88 +63,91 @@
 	return nil
 }
 
-// cutOffHalls lists the halls that serve while cut off, by the tree as it is
-// now, but for those that the operator knows to be down.
+// cutOffHalls lists the halls that serve while cut off according to the current
+// settings tree, except those that the operator knows to be down.
 func (k *Keeper) cutOffHalls(down []string) []sumachead.HallID {
-	tree, _, _ := k.machine.Current()
+	tree, _, _ := k.settingsMachine.Current()
 	return slices.DeleteFunc(tree.CutOffHalls(), func(h sumachead.HallID) bool {
 		return slices.Contains(down, string(h))
 	})
 }
 
-// concernsNodes reports whether routers or agents go by any of the objects.
-// Budgets and top-ups are the ledger's alone.
-func concernsNodes(objects []*wire.SettingsObject) bool {
+// affectsNodes reports whether routers or agents use any of the objects. Only the
+// ledger uses budgets and top-ups.
+func affectsNodes(objects []*wire.SettingsObject) bool {
 	return slices.ContainsFunc(objects, func(o *wire.SettingsObject) bool {
 		kind := settings.Kind(o.GetPath())
 		return kind != settings.KindTopups && kind != settings.KindBudgets
 	})
 }
 
-// awaitLedger waits until the ledger counts with a revision's totals.
+// awaitLedger waits until the ledger has applied the totals of a revision, and
+// returns what is still missing when the timeout expires.
 func (k *Keeper) awaitLedger(revision uint64) []string {
-	ctx, cancel := context.WithTimeout(context.Background(), acceptWait)
+	ctx, cancel := context.WithTimeout(context.Background(), acceptTimeout)
 	defer cancel()
-	loop.Until(ctx, pollEvery, func() bool { return k.ledger.TotalsRevision() >= revision })
+	loop.Until(ctx, pollInterval, func() bool { return k.ledger.TotalsRevision() >= revision })
 	if ctx.Err() != nil {
 		return []string{"the ledger"}
 	}
 	return nil
 }
 
-// awaitNodes waits until every node that may still work has a revision, and
-// returns the nodes, and the halls out of contact among those that serve then,
-// that are missing when the time is up.
-func (k *Keeper) awaitNodes(revision uint64, serving []sumachead.HallID) []string {
-	slices.Sort(serving)
-	serving = slices.Compact(serving)
-	deadline := time.Now().Add(acceptWait)
+// awaitNodes waits until every node that may still work has the revision. It
+// returns the nodes that still lack it when the timeout expires, and those of the
+// cutOff halls that are unreachable.
+func (k *Keeper) awaitNodes(revision uint64, cutOff []sumachead.HallID) []string {
+	slices.Sort(cutOff)
+	cutOff = slices.Compact(cutOff)
+	deadline := time.Now().Add(acceptTimeout)
 	for {
-		st := k.settings.node.Status()
+		st := k.settingsGroup.node.Status()
 		if st.GetLeader() != string(k.Config.Node) {
 			return []string{"a new leader"}
 		}
-		missing, changed := k.nodes.missing(revision, st.GetTerm(), time.Now())
-		missing = append(missing, k.nodes.silentHalls(serving, time.Now())...)
+		missing, changed := k.nodes.outdatedNodes(revision, st.GetTerm(), time.Now())
+		missing = append(missing, k.nodes.unreachableHalls(cutOff, time.Now())...)
 		if len(missing) == 0 || time.Now().After(deadline) {
 			return missing
 		}
-		const pollEvery = 20 * time.Millisecond
+		const pollInterval = 20 * time.Millisecond
 		select {
 		case <-changed:
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// Sync tells a node what it lacks. A leader that holds its quorum lease answers
-// that the node was current when it asked; another keeper tells what it has.
+// Sync sends a node the changes that it lacks. A leader with a quorum lease
+// confirms that the node is current as of its call; any other keeper sends what
+// it has.
 func (s *settingsService) Sync(r *wire.SyncRequest, reply *wire.SyncReply) error {
 	k := s.keeper
-	k.nodes.saw(r, time.Now())
-	s.holdSync(r)
+	k.nodes.observe(r, time.Now())
+	s.awaitNewRevision(r)
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	current := k.settings.node.ReadBarrier(ctx) == nil
+	current := k.settingsGroup.node.ReadBarrier(ctx) == nil
 	if current {
-		// The lease is noted before the answer leaves: the node's own starts
-		// when it asked, so it ends first.
-		k.nodes.lease(r, time.Now())
+		// The lease is recorded before the reply is sent. The node counts its
+		// own lease from its call, so that one expires first.
+		k.nodes.recordLease(r, time.Now())
 	}
-	answer, err := k.machine.Sync(r)
+	answer, err := k.settingsMachine.Sync(r)
 	if err != nil {
 		return err
 	}
 	proto.Merge(reply, answer)
 	reply.Current = current
-	reply.Leader = k.settings.node.Status().GetLeader()
-	reply.CutOff = k.settings.leaderlessFor(time.Now()) >= silentAfter
+	reply.Leader = k.settingsGroup.node.Status().GetLeader()
+	reply.CutOff = k.settingsGroup.leaderlessFor(time.Now()) >= cutOffReportDelay
 	return nil
 }
 
-// holdSync waits for a revision beyond the node's, for as long as it allows.
-func (s *settingsService) holdSync(r *wire.SyncRequest) {
-	_, revision, changed := s.keeper.machine.Current()
+// awaitNewRevision waits until there is a newer revision than the node's, at most
+// as long as the node allows (long poll).
+func (s *settingsService) awaitNewRevision(r *wire.SyncRequest) {
+	_, revision, changed := s.keeper.settingsMachine.Current()
 	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, maxSyncWait)
 	if revision != r.GetRevision() || r.GetSession() == "" || wait <= 0 {
 		return
@@ -155,12 +158,12 @@
 	}
 }
 
-// Read returns the whole tree; the answer is linearizable.
+// Read returns the whole settings tree. The read is linearizable.
 func (s *settingsService) Read(_ *wire.Empty, reply *wire.SyncReply) error {
-	if err := s.keeper.settings.readBarrier(); err != nil {
+	if err := s.keeper.settingsGroup.readBarrier(); err != nil {
 		return err
 	}
-	answer, err := s.keeper.machine.Sync(&wire.SyncRequest{})
+	answer, err := s.keeper.settingsMachine.Sync(&wire.SyncRequest{})
 	if err != nil {
 		return err
 	}
@@ -168,11 +171,11 @@
 	return nil
 }
 
-// History shows the kept changes.
+// History returns the retained changes.
 func (s *settingsService) History(r *wire.HistoryRequest, reply *wire.HistoryReply) error {
-	if err := s.keeper.settings.readBarrier(); err != nil {
+	if err := s.keeper.settingsGroup.readBarrier(); err != nil {
 		return err
 	}
-	proto.Merge(reply, s.keeper.machine.History(r))
+	proto.Merge(reply, s.keeper.settingsMachine.History(r))
 	return nil
 }
--- a/internal/keeper/statusservice.go
+++ b/internal/keeper/statusservice.go
@@ -12,10 +12,11 @@
 	"sumachead/internal/raft"
 )
 
-// statusService serves the tool, and keepers that join.
+// statusService serves the command-line tool and keepers that join.
 type statusService struct{ keeper *Keeper }
 
-// Status tells what this keeper knows; any keeper answers.
+// Status returns the groups, nodes and settings revision as this keeper knows
+// them, whether or not it leads.
 func (s *statusService) Status(_ *wire.Empty, reply *wire.StatusReply) error {
 	k := s.keeper
 	reply.Keeper, reply.Hall = string(k.Config.Node), string(k.Config.Hall)
@@ -23,27 +24,27 @@
 		reply.Groups = append(reply.Groups, proto.CloneOf(g.node.Status()))
 	}
 	reply.Nodes = k.nodes.status(time.Now())
-	_, reply.Revision, _ = k.machine.Current()
+	_, reply.Revision, _ = k.settingsMachine.Current()
 	return nil
 }
 
-// Join takes a keeper into a group as a learner. A keeper with a new
-// incarnation takes the place of its lost self, which loses its vote.
+// Join adds a keeper to a group as a learner. A keeper with a new incarnation
+// replaces its previous one, which loses its vote.
 func (s *statusService) Join(r *wire.JoinRequest, _ *wire.Empty) error {
 	g := s.keeper.group(r.GetGroup())
 	if g == nil || r.GetMember().GetId() == "" || r.GetMember().GetIncarnation() == "" {
 		return trace.BadParameter("no group %q, or a member without id and incarnation", r.GetGroup())
 	}
-	return s.change(g, func(ms *wire.Members) *wire.Members { return raft.WithLearner(ms, r.GetMember()) })
+	return s.changeMembers(g, func(ms *wire.Members) *wire.Members { return raft.WithLearner(ms, r.GetMember()) })
 }
 
-// Remove takes a keeper out of a group for good.
+// Remove removes a keeper from a group permanently.
 func (s *statusService) Remove(r *wire.RemoveRequest, _ *wire.Empty) error {
 	g := s.keeper.group(r.GetGroup())
 	if g == nil {
 		return trace.NotFound("no group %q", r.GetGroup())
 	}
-	return s.change(g, func(ms *wire.Members) *wire.Members {
+	return s.changeMembers(g, func(ms *wire.Members) *wire.Members {
 		next := raft.Without(ms, r.GetKeeper())
 		if len(next.GetMembers()) == len(ms.GetMembers()) || len(next.GetMembers()) == 0 {
 			return nil
@@ -52,7 +53,7 @@
 	})
 }
 
-func (s *statusService) change(g *group, f func(*wire.Members) *wire.Members) error {
+func (s *statusService) changeMembers(g *group, f func(*wire.Members) *wire.Members) error {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
 	if !g.node.Leading() {
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// sendQueue is how many messages wait for one peer; more are dropped and
-	// sent again by the protocol.
-	sendQueue = 4096
-	// sendTimeout bounds one call that carries messages.
+	// sendQueueSize is the maximum number of messages queued for one peer. More
+	// are dropped; Raft sends them again.
+	sendQueueSize = 4096
+	// sendTimeout bounds one call that sends a batch.
 	sendTimeout = 2 * time.Second
-	// maxSendBatch bounds the messages of one call.
+	// maxSendBatch bounds the number of messages in one call.
 	maxSendBatch = 64
 )
 
-// sender passes messages of one group to the other keepers, in order and one
-// call at a time for each.
+// sender sends the messages of one group to the other keepers: in order, and with
+// one call at a time to each keeper.
 type sender struct {
-	queues map[string]*sendQueueTo
+	queues map[string]*peerQueue
 }
 
-type sendQueueTo struct {
-	client *rpc.Client
-	ch     chan *wire.RaftMessage
+type peerQueue struct {
+	client   *rpc.Client
+	messages chan *wire.RaftMessage
 }
 
 func newSender(keepers []config.Keeper, pool *rpc.Pool) *sender {
-	s := &sender{queues: make(map[string]*sendQueueTo)}
+	s := &sender{queues: make(map[string]*peerQueue)}
 	for _, k := range keepers {
-		s.queues[k.ID] = &sendQueueTo{client: pool.Get(k.Address), ch: make(chan *wire.RaftMessage, sendQueue)}
+		s.queues[k.ID] = &peerQueue{client: pool.Get(k.Address), messages: make(chan *wire.RaftMessage, sendQueueSize)}
 	}
 	return s
 }
 
-// send queues messages; it never blocks.
+// send queues messages. It never blocks.
 func (s *sender) send(ms []*wire.RaftMessage) {
 	for _, m := range ms {
 		q := s.queues[m.GetTo()]
@@ -48,7 +48,7 @@
 			continue
 		}
 		select {
-		case q.ch <- m:
+		case q.messages <- m:
 		default:
 		}
 	}
@@ -63,33 +63,34 @@
 	}
 }
 
-func (q *sendQueueTo) run(ctx context.Context) {
+func (q *peerQueue) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-q.ch:
+		case m := <-q.messages:
 			q.sendBatch(ctx, m)
 		}
 	}
 }
 
-// sendBatch sends m and what waits behind it. A failure drops them.
-func (q *sendQueueTo) sendBatch(ctx context.Context, m *wire.RaftMessage) {
+// sendBatch sends m together with further queued messages. They are dropped if
+// the call fails.
+func (q *peerQueue) sendBatch(ctx context.Context, m *wire.RaftMessage) {
 	batch := &wire.RaftBatch{Messages: []*wire.RaftMessage{m}}
-	for len(batch.Messages) < maxSendBatch && len(q.ch) > 0 {
-		batch.Messages = append(batch.Messages, <-q.ch)
+	for len(batch.Messages) < maxSendBatch && len(q.messages) > 0 {
+		batch.Messages = append(batch.Messages, <-q.messages)
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	_, err := rpc.Call[wire.Empty](ctx, q.client, "Raft.Step", batch)
-	_ = err // the protocol sends again
+	_ = err // Raft sends the messages again
 }
 
-// raftService takes in messages from other keepers.
+// raftService receives Raft messages from other keepers.
 type raftService struct{ keeper *Keeper }
 
-// Step passes a batch to its groups.
+// Step passes the messages of a batch to their groups.
 func (s *raftService) Step(b *wire.RaftBatch, _ *wire.Empty) error {
 	for _, g := range s.keeper.groups() {
 		var mine []*wire.RaftMessage
