--- a/internal/keeper/acceptance.go
+++ b/internal/keeper/acceptance.go
@@ -31,8 +31,8 @@
 	}
 	halls := make(map[sumachead.HallID]bool)
 	for _, h := range hallsWithKeepers(k.Config.Keepers) {
-		holder, _ := keeperclient.Holder(h, k.Config.Keepers)
-		halls[h] = holder.ID == string(k.Config.Node) || active[holder.ID]
+		journalKeeper, _ := keeperclient.JournalKeeper(h, k.Config.Keepers)
+		halls[h] = journalKeeper.ID == string(k.Config.Node) || active[journalKeeper.ID]
 	}
 	return halls
 }
--- a/internal/keeper/allotments.go
+++ b/internal/keeper/allotments.go
@@ -52,11 +52,11 @@
 	}
 	halls := make(map[string]string)
 	for _, h := range hallsWithKeepers(k.Config.Keepers) {
-		holder, _ := keeperclient.Holder(h, k.Config.Keepers)
-		if holder.ID != string(k.Config.Node) && !active[holder.ID] {
+		journalKeeper, _ := keeperclient.JournalKeeper(h, k.Config.Keepers)
+		if journalKeeper.ID != string(k.Config.Node) && !active[journalKeeper.ID] {
 			continue
 		}
-		if i := k.incarnationOf(holder.ID); i != "" {
+		if i := k.incarnationOf(journalKeeper.ID); i != "" {
 			halls[string(h)] = i
 		}
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -152,8 +152,8 @@
 
 // openJournal opens the hall's journal if this keeper holds it.
 func (k *Keeper) openJournal() error {
-	holder, _ := keeperclient.Holder(k.Config.Hall, k.Config.Keepers)
-	k.holdsJournal = holder.ID == string(k.Config.Node)
+	journalKeeper, _ := keeperclient.JournalKeeper(k.Config.Hall, k.Config.Keepers)
+	k.holdsJournal = journalKeeper.ID == string(k.Config.Node)
 	if !k.holdsJournal {
 		return nil
 	}
--- a/internal/keeper/recall.go
+++ b/internal/keeper/recall.go
@@ -57,16 +57,16 @@
 
 // recall recalls tokens from one hall and reports whether that succeeded.
 func (k *Keeper) recall(a *wire.Allotment, amount int64) bool {
-	holder, ok := keeperclient.Holder(sumachead.HallID(a.GetHall()), k.Config.Keepers)
-	if !ok || !k.recalls.isAllowed(holder.ID, time.Now()) || k.incarnationOf(holder.ID) != a.GetKeeperIncarnation() {
+	journalKeeper, ok := keeperclient.JournalKeeper(sumachead.HallID(a.GetHall()), k.Config.Keepers)
+	if !ok || !k.recalls.isAllowed(journalKeeper.ID, time.Now()) || k.incarnationOf(journalKeeper.ID) != a.GetKeeperIncarnation() {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), recallTimeout)
 	defer cancel()
-	_, err := rpc.Call[wire.Empty](ctx, k.Pool.Get(holder.Address), "Hall.Recall",
+	_, err := rpc.Call[wire.Empty](ctx, k.Pool.Get(journalKeeper.Address), "Hall.Recall",
 		&wire.RecallRequest{Budget: a.GetBudget(), Amount: amount})
 	if err != nil {
-		k.recalls.backOff(holder.ID, time.Now())
+		k.recalls.backOff(journalKeeper.ID, time.Now())
 	}
 	return err == nil
 }
--- a/internal/keeperclient/client.go
+++ b/internal/keeperclient/client.go
@@ -1,6 +1,7 @@
-// Package keeperclient calls the keepers from routers, agents and the tool. A
-// [Client] finds the leader of a group, follows its changes, and repeats a call
-// until its context ends: all calls to keepers may be repeated.
+// Package keeperclient is the client of the keepers for routers, agents and the
+// command-line tool. A [Client] finds the leader of a group, follows changes of
+// leadership, and retries a call until its context is done: all calls to keepers
+// are idempotent.
 package keeperclient
 
 import (
@@ -21,27 +22,27 @@
 	"sumachead/internal/rpc"
 )
 
-// The groups of keepers.
+// The Raft groups of the keepers.
 const (
 	GroupSettings sumachead.GroupID = "settings"
 	GroupLedger   sumachead.GroupID = "ledger"
 )
 
-// Groups lists the groups.
+// Groups returns the ids of all groups.
 func Groups() []sumachead.GroupID { return []sumachead.GroupID{GroupSettings, GroupLedger} }
 
-// notLeaderPrefix marks the error text of a keeper that does not lead; the
-// leader's id follows. net/rpc carries errors as text only.
+// notLeaderPrefix starts the error text of a keeper that is not the leader; the
+// leader's id follows. net/rpc transmits errors only as text.
 const notLeaderPrefix = "not_leader:"
 
 const (
-	// tryTimeout bounds a call to one keeper, which may be frozen.
-	tryTimeout = 700 * time.Millisecond
-	// retryPause separates rounds in which no keeper led.
-	retryPause = 30 * time.Millisecond
+	// attemptTimeout bounds a call to one keeper, which may hang.
+	attemptTimeout = 700 * time.Millisecond
+	// retryDelay separates rounds of calls in which no keeper was the leader.
+	retryDelay = 30 * time.Millisecond
 )
 
-// EncodeError returns err as a keeper sends it.
+// EncodeError converts err to the form in which a keeper sends it.
 func EncodeError(err error) error {
 	var nl *raft.NotLeaderError
 	if errors.As(err, &nl) {
@@ -60,14 +61,14 @@
 	return err
 }
 
-// IsNotLeader reports whether an error, as a keeper sent it, says that another
-// one leads: nothing was done.
+// IsNotLeader reports whether an error received from a keeper means that the
+// keeper is not the leader. The call then had no effect.
 func IsNotLeader(err error) bool {
 	var nl *raft.NotLeaderError
 	return errors.As(decodeError(err), &nl)
 }
 
-// Leader returns the leader that such an error names; empty for none.
+// LeaderHint returns the leader that a not-leader error names, or "".
 func Leader(err error) string {
 	var nl *raft.NotLeaderError
 	if errors.As(decodeError(err), &nl) {
@@ -80,25 +81,25 @@
 type Client struct {
 	Keepers []config.Keeper
 	Pool    *rpc.Pool
-	// Hall is the caller's own data hall: its keeper is asked first when the
-	// leader is not known. Empty for none.
+	// Hall is the caller's own data hall, or empty. Its keeper is tried first
+	// while the leader is unknown.
 	Hall sumachead.HallID
 
-	mu      sync.Mutex // guards leaders and next
-	leaders map[sumachead.GroupID]string
-	next    int
+	mu         sync.Mutex // guards leaders and nextOffset
+	leaders    map[sumachead.GroupID]string
+	nextOffset int
 }
 
-// Call runs a method at the leader of a group. It tries until ctx ends.
+// Call calls a method on the leader of a group, and retries until ctx is done.
 func Call[R any](ctx context.Context, c *Client, g sumachead.GroupID, method string, args proto.Message) (*R, error) {
-	return CallWithin[R](ctx, c, tryTimeout, g, method, args)
+	return CallWithin[R](ctx, c, attemptTimeout, g, method, args)
 }
 
-// CallWithin is like Call with another bound for one try.
-func CallWithin[R any](ctx context.Context, c *Client, try time.Duration, g sumachead.GroupID, method string, args proto.Message) (*R, error) {
-	for tries := 1; ; tries++ {
-		k := c.target(g)
-		reply, err := callKeeperWithin[R](ctx, c, try, k, method, args)
+// CallWithTimeout is like Call, but with the given timeout for each attempt.
+func CallWithin[R any](ctx context.Context, c *Client, timeout time.Duration, g sumachead.GroupID, method string, args proto.Message) (*R, error) {
+	for attempts := 1; ; attempts++ {
+		k := c.nextKeeper(g)
+		reply, err := callKeeperWithTimeout[R](ctx, c, timeout, k, method, args)
 		if err == nil {
 			c.setLeader(g, k.ID)
 			return reply, nil
@@ -106,49 +107,50 @@
 		if ctx.Err() != nil {
 			return nil, trace.Wrap(errors.Join(ctx.Err(), err), "calling %s", method)
 		}
-		c.learn(g, k.ID, err)
-		if tries%len(c.Keepers) != 0 {
+		c.updateLeader(g, k.ID, err)
+		if attempts%len(c.Keepers) != 0 {
 			continue
 		}
-		if pause(ctx) != nil {
+		if awaitRetry(ctx) != nil {
 			return nil, trace.Wrap(errors.Join(ctx.Err(), err), "calling %s", method)
 		}
 	}
 }
 
-// pause separates two tries; it returns the error of a ctx that has ended.
-func pause(ctx context.Context) error {
-	loop.Sleep(ctx, retryPause)
+// awaitRetry waits for retryDelay. It returns the error of ctx if that is done.
+func awaitRetry(ctx context.Context) error {
+	loop.Sleep(ctx, retryDelay)
 	return ctx.Err()
 }
 
-func callKeeperWithin[R any](ctx context.Context, c *Client, try time.Duration, k config.Keeper, method string, args proto.Message) (*R, error) {
-	ctx, cancel := context.WithTimeout(ctx, try)
+func callKeeperWithTimeout[R any](ctx context.Context, c *Client, timeout time.Duration, k config.Keeper, method string, args proto.Message) (*R, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return CallKeeper[R](ctx, c, k, method, args)
 }
 
-// CallKeeper runs a method at one keeper, once.
+// CallKeeper calls a method on one keeper, without retries.
 func CallKeeper[R any](ctx context.Context, c *Client, k config.Keeper, method string, args proto.Message) (*R, error) {
 	reply, err := rpc.Call[R](ctx, c.Pool.Get(k.Address), method, args)
 	return reply, decodeError(err)
 }
 
-// learn notes what a failed call says of the leader.
-func (c *Client) learn(g sumachead.GroupID, tried string, err error) {
+// updateLeader updates what is known about the leader of a group after a failed
+// call.
+func (c *Client) updateLeader(g sumachead.GroupID, called string, err error) {
 	var nl *raft.NotLeaderError
-	if errors.As(err, &nl) && nl.Leader != "" && nl.Leader != tried {
+	if errors.As(err, &nl) && nl.Leader != "" && nl.Leader != called {
 		c.setLeader(g, nl.Leader)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaders[g] == tried {
+	if c.leaders[g] == called {
 		delete(c.leaders, g)
-		c.next = 0
+		c.nextOffset = 0
 		return
 	}
-	c.next++
+	c.nextOffset++
 }
 
 func (c *Client) setLeader(g sumachead.GroupID, id string) {
@@ -160,8 +162,9 @@
 	c.leaders[g] = id
 }
 
-// target returns the keeper to try: the known leader, else the next in turn.
-func (c *Client) target(g sumachead.GroupID) config.Keeper {
+// nextKeeper returns the keeper to call: the known leader, or else the next one in
+// round-robin order.
+func (c *Client) nextKeeper(g sumachead.GroupID) config.Keeper {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.Keepers {
@@ -169,7 +172,7 @@
 			return k
 		}
 	}
-	// In turn, beginning with the own hall's.
-	own := max(slices.IndexFunc(c.Keepers, func(k config.Keeper) bool { return k.Hall == c.Hall }), 0)
-	return c.Keepers[(own+c.next)%len(c.Keepers)]
+	// Round robin starts with the caller's own hall.
+	first := max(slices.IndexFunc(c.Keepers, func(k config.Keeper) bool { return k.Hall == c.Hall }), 0)
+	return c.Keepers[(first+c.nextOffset)%len(c.Keepers)]
 }
--- a/internal/keeperclient/ledger.go
+++ b/internal/keeperclient/ledger.go
@@ -13,15 +13,15 @@
 	"sumachead/internal/config"
 )
 
-// hallSeparator ends the part of a key, or of a top-up's id, that names the
-// data hall to which it belongs.
+// hallSeparator separates the data hall that owns a key, or the id of a top-up,
+// from the rest of it.
 const hallSeparator = "~"
 
-// HallKey returns a key that belongs to a hall.
+// HallKey returns a key that belongs to the hall.
 func HallKey(h sumachead.HallID, rest string) string { return string(h) + hallSeparator + rest }
 
-// HallOf returns the hall to which a key belongs; empty for none. A name that
-// is not that of a keeper's hall is just a part of the key.
+// HallOf returns the hall to which a key belongs, or "". A prefix that is not the
+// name of a keeper's hall is just a part of the key.
 func HallOf(key string, keepers []config.Keeper) sumachead.HallID {
 	name, _, ok := strings.Cut(key, hallSeparator)
 	if !ok {
@@ -35,9 +35,9 @@
 	return ""
 }
 
-// Holder returns the keeper that holds a hall's journal: the first of the hall
-// in the settings file, which is the same everywhere.
-func Holder(h sumachead.HallID, keepers []config.Keeper) (config.Keeper, bool) {
+// JournalKeeper returns the keeper that holds the journal of a hall: the first of
+// that hall in the configured list, which is the same on all nodes.
+func JournalKeeper(h sumachead.HallID, keepers []config.Keeper) (config.Keeper, bool) {
 	for _, k := range keepers {
 		if k.Hall == h {
 			return k, true
@@ -46,18 +46,19 @@
 	return config.Keeper{}, false
 }
 
-// CallHall runs a method at the holder of a hall, until ctx ends.
+// CallHall calls a method on the keeper of a hall's journal, and retries until
+// ctx is done.
 func CallHall[R any](ctx context.Context, c *Client, h sumachead.HallID, method string, args proto.Message) (*R, error) {
-	k, ok := Holder(h, c.Keepers)
+	k, ok := JournalKeeper(h, c.Keepers)
 	if !ok {
 		return nil, trace.NotFound("no keeper in hall %q", h)
 	}
 	for {
-		reply, err := callKeeperWithin[R](ctx, c, tryTimeout, k, method, args)
+		reply, err := callKeeperWithTimeout[R](ctx, c, attemptTimeout, k, method, args)
 		if err == nil {
 			return reply, nil
 		}
-		if pause(ctx) != nil {
+		if awaitRetry(ctx) != nil {
 			return nil, trace.Wrap(errors.Join(ctx.Err(), err), "calling %s in hall %s", method, h)
 		}
 	}
@@ -80,7 +81,8 @@
 	return Call[wire.LedgerReply](ctx, c, GroupLedger, "Ledger.Reassign", r)
 }
 
-// Settle implements sumachead.Ledger. Each outcome goes to where its entry is.
+// Settle implements sumachead.Ledger. Each settlement is sent to the journal or
+// ledger that has its entry.
 func (c *Client) Settle(ctx context.Context, b *wire.SettleBatch) error {
 	parts := make(map[sumachead.HallID]*wire.SettleBatch)
 	for _, s := range b.GetSettles() {
@@ -106,13 +108,13 @@
 	return err
 }
 
-// Merge brings a hall's records to the ledger.
+// Merge merges the journal records of a hall into the ledger.
 func (c *Client) Merge(ctx context.Context, m *wire.MergeRequest) error {
 	_, err := Call[wire.Empty](ctx, c, GroupLedger, "Ledger.Merge", m)
 	return err
 }
 
-// Grant asks the ledger for tokens for a hall's journal.
+// Grant requests tokens for a hall's journal from the ledger.
 func (c *Client) Grant(ctx context.Context, g *wire.Grant) (*wire.LedgerReply, error) {
 	return Call[wire.LedgerReply](ctx, c, GroupLedger, "Ledger.Grant", g)
 }
