--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -53,7 +53,7 @@
 	Granted func(sumachead.BudgetID) sumachead.Tokens
 
 	// Room tells when tokens may have become free.
-	Room ledger.Room
+	TokensFreed ledger.Notifier
 
 	files *files
 
@@ -185,14 +185,14 @@
 func (j *Journal) Reserve(r *wire.ReserveRequest) (*wire.LedgerReply, error) {
 	return j.do(func() *wire.LedgerReply {
 		e := j.entries[entryKey{r.GetWorkspace(), r.GetKey()}]
-		code, fresh := ledger.Claim(e, r)
-		if !fresh {
+		code, isNew := ledger.CheckClaim(e, r)
+		if !isNew {
 			return reply(code, e)
 		}
 		if r.GetAmount() < 0 || j.available(r.GetBudget()) < r.GetAmount() {
 			return reply(wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED, nil)
 		}
-		next := ledger.Opened(e, r, string(j.Hall))
+		next := ledger.ReservedEntry(e, r, string(j.Hall))
 		// What the key was billed before is held again as part of the new
 		// reservation.
 		j.writeEntry(next)
@@ -204,16 +204,16 @@
 func (j *Journal) Reassign(r *wire.ReassignRequest) (*wire.LedgerReply, error) {
 	return j.do(func() *wire.LedgerReply {
 		e := j.entries[entryKey{r.GetWorkspace(), r.GetKey()}]
-		code, fresh := ledger.Move(e, r)
-		if !fresh {
+		code, isNew := ledger.CheckReassign(e, r)
+		if !isNew {
 			return reply(code, e)
 		}
 		// What is available may show as less than nothing for a while, after a
 		// restart with an old copy of the ledger.
-		if used := ledger.UsedBefore(e, r); used > 0 && used > j.available(e.GetBudget()) {
+		if used := ledger.FailedAttemptUsage(e, r); used > 0 && used > j.available(e.GetBudget()) {
 			return reply(wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED, e)
 		}
-		next := ledger.Moved(e, r)
+		next := ledger.ReassignedEntry(e, r)
 		j.writeEntry(next)
 		return reply(wire.LedgerCode_LEDGER_CODE_GRANTED, next)
 	})
@@ -221,7 +221,7 @@
 
 // Settle ends entries, all with one sync.
 func (j *Journal) Settle(b *wire.SettleBatch) ([]*wire.LedgerReply, error) {
-	defer j.Room.Freed()
+	defer j.TokensFreed.Broadcast()
 	var replies []*wire.LedgerReply
 	_, err := j.do(func() *wire.LedgerReply {
 		for _, s := range b.GetSettles() {
@@ -236,15 +236,15 @@
 func (j *Journal) settle(s *wire.SettleRequest) *wire.LedgerReply {
 	e := j.entries[entryKey{s.GetWorkspace(), s.GetKey()}]
 	if e == nil {
-		if w := ledger.Withdrawn(s, string(j.Hall)); w != nil {
+		if w := ledger.WithdrawalTombstone(s, string(j.Hall)); w != nil {
 			j.writeEntry(w)
 		}
 		return reply(wire.LedgerCode_LEDGER_CODE_NO_ENTRY, nil)
 	}
-	if ends, _ := ledger.Ends(e, s); !ends {
+	if settles, _ := ledger.CheckSettle(e, s); !settles {
 		return reply(wire.LedgerCode_LEDGER_CODE_STALE_ATTEMPT, e)
 	}
-	next := ledger.Ended(e, s)
+	next := ledger.SettledEntry(e, s)
 	j.writeEntry(next)
 	return reply(wire.LedgerCode_LEDGER_CODE_SETTLED, next)
 }
@@ -269,7 +269,7 @@
 	if id == "" || tokens < 1 {
 		return trace.BadParameter("a top-up needs an id and at least one token")
 	}
-	defer j.Room.Freed()
+	defer j.TokensFreed.Broadcast()
 	_, err := j.do(func() *wire.LedgerReply {
 		if !j.topups[id] {
 			j.write(&wire.JournalRecord{Budget: string(budget), TopupId: id, TopupTokens: int64(tokens)})
@@ -302,7 +302,7 @@
 					delete(j.entries, k)
 				}
 			case e.GetDeadlineUnixNano() < presume.UnixNano():
-				j.writeEntry(ledger.Presumed(e, now.UnixNano()))
+				j.writeEntry(ledger.PresumedEntry(e, now.UnixNano()))
 			}
 		}
 		return nil
--- a/internal/keeper/hallservice.go
+++ b/internal/keeper/hallservice.go
@@ -100,7 +100,7 @@
 	available := func() (sumachead.Tokens, sumachead.Tokens) {
 		return k.journal.Available(sumachead.BudgetID(r.GetBudget()))
 	}
-	for deadline := time.Now().Add(maxTokenWait); err == nil && k.awaitTokens(&k.journal.Room, r, got, deadline, available); {
+	for deadline := time.Now().Add(maxTokenWait); err == nil && k.awaitTokens(&k.journal.TokensFreed, r, got, deadline, available); {
 		got, err = k.journal.Reserve(r)
 	}
 	return got, err
@@ -241,8 +241,8 @@
 	if leaderless < cutOffDelay {
 		return keeperclient.EncodeError(&raft.NotLeaderError{})
 	}
-	code, fresh := ledger.Claim(e, r)
-	if fresh {
+	code, isNew := ledger.CheckClaim(e, r)
+	if isNew {
 		code = wire.LedgerCode_LEDGER_CODE_CLAIM_UNAVAILABLE
 	}
 	reply.Code, reply.Entry = code, e
--- a/internal/keeper/ledgerservice.go
+++ b/internal/keeper/ledgerservice.go
@@ -66,7 +66,7 @@
 	available := func() (sumachead.Tokens, sumachead.Tokens) {
 		return k.ledger.Available(sumachead.BudgetID(r.GetBudget()))
 	}
-	for deadline := now.Add(maxTokenWait); err == nil && k.awaitTokens(&k.ledger.Room, r, reply, deadline, available); {
+	for deadline := now.Add(maxTokenWait); err == nil && k.awaitTokens(&k.ledger.TokensFreed, r, reply, deadline, available); {
 		err = k.proposeReply(c, reply)
 	}
 	if err == nil {
@@ -78,7 +78,7 @@
 // awaitTokens waits for free tokens if the budget is short only because requests
 // in flight reserve their maximum cost. It reports whether the amount is
 // available now.
-func (k *Keeper) awaitTokens(room *ledger.Room, r *wire.ReserveRequest, reply *wire.LedgerReply, deadline time.Time, available func() (sumachead.Tokens, sumachead.Tokens)) bool {
+func (k *Keeper) awaitTokens(freed *ledger.Notifier, r *wire.ReserveRequest, reply *wire.LedgerReply, deadline time.Time, available func() (sumachead.Tokens, sumachead.Tokens)) bool {
 	if reply.GetCode() != wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED {
 		return false
 	}
@@ -88,7 +88,7 @@
 	}
 	k.metrics.reserveWaits.Inc()
 	reply.RoomSoon = true
-	return room.Await(deadline, func() bool {
+	return freed.Await(deadline, func() bool {
 		free, _ := available()
 		return free >= amount
 	})
--- a/internal/keeper/lostjournal.go
+++ b/internal/keeper/lostjournal.go
@@ -26,7 +26,7 @@
 	withinRetention := now.Before(time.Unix(0, k.identity.GetJoinedUnixNano()).Add(EntryRetention))
 	e := k.ledgerEntry(r.GetWorkspace(), r.GetKey(), withinRetention)
 	if e != nil && e.GetState() != wire.EntryState_ENTRY_STATE_RELEASED {
-		reply.Code, _ = ledger.Claim(e, r)
+		reply.Code, _ = ledger.CheckClaim(e, r)
 		if reply.GetCode() == wire.LedgerCode_LEDGER_CODE_GRANTED {
 			reply.Code = wire.LedgerCode_LEDGER_CODE_SETTLED
 		}
--- a/internal/ledger/allotment.go
+++ b/internal/ledger/allotment.go
@@ -6,7 +6,7 @@
 )
 
 // grant moves tokens of a budget into the escrow of a data hall's journal. A
-// keeper that lost its disk has another incarnation, and so another escrow; the
+// keeper that lost its disk has a new incarnation and therefore a new escrow; the
 // old one stays deducted until it is written off.
 func (m *Machine) grant(g *wire.Grant) *wire.LedgerReply {
 	b := m.budgets[g.GetBudget()]
@@ -32,7 +32,7 @@
 	return rep
 }
 
-// allotment returns the budget's escrow at a hall, new if need be.
+// allotment returns the budget's escrow at a hall and creates it if necessary.
 func (b *budget) allotment(id, hall, incarnation string) *wire.Allotment {
 	k := allotmentKey{hall, incarnation}
 	a := b.allotments[k]
@@ -43,7 +43,7 @@
 	return a
 }
 
-// merge takes in what a hall's journal holds beyond what was merged before.
+// merge applies the records of a hall's journal that follow those already merged.
 func (m *Machine) merge(r *wire.MergeRequest) {
 	h := m.halls[r.GetHall()]
 	if h == nil || h.GetKeeperIncarnation() != r.GetKeeperIncarnation() {
@@ -62,12 +62,12 @@
 
 func (m *Machine) mergeRecord(r *wire.MergeRequest, x *wire.JournalRecord) {
 	if x.GetBudget() == "" {
-		return // a journal's first record, which only introduces it
+		return // the first record of a journal, which only registers it
 	}
 	b := m.budget(x.GetBudget())
 	a := b.allotment(x.GetBudget(), r.GetHall(), r.GetKeeperIncarnation())
 	if id := x.GetTopupId(); id != "" {
-		b.takeHallTopup(id, x.GetTopupTokens())
+		b.addHallTopup(id, x.GetTopupTokens())
 		b.allotted += x.GetTopupTokens()
 		a.Held += x.GetTopupTokens()
 	}
@@ -82,50 +82,51 @@
 	m.verify(x.GetBudget())
 }
 
-// takeHallTopup counts a top-up that a hall took, until the tree has it.
-func (b *budget) takeHallTopup(id string, tokens int64) {
+// addHallTopup adds a top-up that a hall accepted to the total, until the settings
+// tree contains it.
+func (b *budget) addHallTopup(id string, tokens int64) {
 	if b.hallTopups[id] == 0 {
 		b.hallTopups[id] = tokens
 		b.total += tokens
 	}
 }
 
-// mergeEntry takes in an entry as the hall has it. The escrow pays for what
-// the hall billed. A key that was also used elsewhere is billed once: the
-// hall's bill goes back to the budget.
+// mergeEntry applies an entry of a hall's journal. Its bill is deducted from the
+// hall's escrow. A key that was also used elsewhere is billed once: the hall's
+// bill is returned to the budget.
 func (m *Machine) mergeEntry(b *budget, a *wire.Allotment, x *wire.JournalRecord) {
 	e := x.GetEntry()
 	k := entryKey{e.GetWorkspace(), e.GetKey()}
-	have := m.entries[k]
+	existing := m.entries[k]
 	a.Held -= x.GetBill()
 	b.allotted -= x.GetBill()
-	if isGhost(have, e) {
-		b.reserved -= have.GetReserved()
-		have = nil
+	if isLateDuplicate(existing, e) {
+		b.reserved -= existing.GetReserved()
+		existing = nil
 	}
-	if have != nil && have.GetHall() != e.GetHall() && have.GetState() != wire.EntryState_ENTRY_STATE_RELEASED {
+	if existing != nil && existing.GetHall() != e.GetHall() && existing.GetState() != wire.EntryState_ENTRY_STATE_RELEASED {
 		return
 	}
 	b.spent += x.GetBill()
 	e.Journal = a.GetKeeperIncarnation()
 	if e.GetState() == wire.EntryState_ENTRY_STATE_RESERVED {
 		m.entries[k] = e
-		m.open.add(k, e.GetDeadlineUnixNano())
+		m.deadlines.add(k, e.GetDeadlineUnixNano())
 		return
 	}
-	m.end(k, e)
+	m.finish(k, e)
 }
 
-// isOrphan reports whether an entry is of a journal that was lost: another one
-// has taken its hall's place. The ledger then decides about it.
+// isOrphan reports whether an entry belongs to a lost journal, which its hall has
+// replaced by another. Such an entry is settled by the ledger.
 func (m *Machine) isOrphan(e *wire.Entry) bool {
 	h := m.halls[e.GetHall()]
 	return e.GetHall() != "" && h != nil && h.GetKeeperIncarnation() != e.GetJournal()
 }
 
-// endOrphan ends an entry of a lost journal: its escrow pays, if it was not
-// written off.
-func (m *Machine) endOrphan(k entryKey, e, next *wire.Entry) {
+// finishOrphan stores the finished entry of a lost journal. Its bill is deducted
+// from the journal's escrow unless that was written off.
+func (m *Machine) finishOrphan(k entryKey, e, next *wire.Entry) {
 	b := m.budgets[e.GetBudget()]
 	bill := next.GetBilled() - e.GetBilled()
 	if a := b.allotments[allotmentKey{e.GetHall(), e.GetJournal()}]; a != nil {
@@ -134,19 +135,19 @@
 		b.allotted -= bill
 		b.spent += bill
 	}
-	m.end(k, next)
+	m.finish(k, next)
 	m.verify(e.GetBudget())
 }
 
-// isGhost reports whether have is a reservation that reached the ledger late,
-// after its own router had been granted the same attempt by the hall.
-func isGhost(have, e *wire.Entry) bool {
-	return have.GetState() == wire.EntryState_ENTRY_STATE_RESERVED && have.GetHall() == "" &&
-		have.GetOpenedBy() == e.GetOpenedBy()
+// isLateDuplicate reports whether existing is a reservation that reached the
+// ledger late, after the hall had granted the same attempt to the same router.
+func isLateDuplicate(existing, e *wire.Entry) bool {
+	return existing.GetState() == wire.EntryState_ENTRY_STATE_RESERVED && existing.GetHall() == "" &&
+		existing.GetOpenedBy() == e.GetOpenedBy()
 }
 
-// writeOff gives up the escrow of a keeper that lost its disk: what it may
-// have spent counts as spent.
+// writeOff counts the escrow of a keeper that lost its disk as spent, since the
+// keeper may have spent it.
 func (m *Machine) writeOff(w *wire.WriteOff) {
 	b := m.budgets[w.GetBudget()]
 	k := allotmentKey{w.GetHall(), w.GetKeeperIncarnation()}
@@ -160,7 +161,7 @@
 	m.verify(w.GetBudget())
 }
 
-// Granted returns all that was ever granted to a keeper for a budget.
+// Granted returns the total ever granted to a keeper's journal for a budget.
 func (m *Machine) Granted(id sumachead.BudgetID, hall sumachead.HallID, incarnation string) sumachead.Tokens {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -171,14 +172,15 @@
 	return sumachead.Tokens(b.allotments[allotmentKey{string(hall), incarnation}].GetGrantedTotal())
 }
 
-// Hall returns what is known of a hall's journal; nil for nothing.
+// Hall returns the merge state of a hall's journal, or nil if none was merged.
 func (m *Machine) Hall(id sumachead.HallID) *wire.Hall {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.halls[string(id)]
 }
 
-// HallTopups lists the top-ups that halls took and the tree lacks, by budget.
+// HallTopups returns the top-ups that halls accepted and the settings tree lacks,
+// by budget and id.
 func (m *Machine) HallTopups() map[string]map[string]int64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -1,13 +1,13 @@
-// Package ledger is the replicated record of money and of requests.
+// Package ledger implements the replicated ledger of token budgets and requests.
 //
-// One entry, keyed by workspace and request key, carries a request's whole
-// story: it reserves the upper bound of the cost, claims the key, names the
-// attempt that may be dispatched and the one agent that may run it, and ends
-// settled with a bill or released as not run. [Machine] is the deterministic
-// state; budgets and entries change only by commands from the log.
+// An entry, identified by workspace and request key, tracks a request over its
+// lifecycle. It reserves the maximum cost, claims the key, names the attempt that
+// may be dispatched and the only agent that may run it, and is finally settled
+// with a bill or released as not run. [Machine] is the deterministic state
+// machine: budgets and entries change only through commands in the Raft log.
 //
-// For each budget, spent + reserved + allotted never exceeds the total: every
-// command is checked against that before it changes anything, and the sum is
-// verified after it. A violation is counted and the budget refuses from then
-// on.
+// For each budget, spent + reserved + allotted never exceeds the total. Every
+// command is checked against this invariant before it changes anything, and the
+// sum is verified afterwards. A violation is counted, and the budget refuses all
+// reservations from then on.
 package ledger
--- a/internal/ledger/expiry.go
+++ b/internal/ledger/expiry.go
@@ -4,60 +4,61 @@
 	"sumachead/api/wire"
 )
 
-// expire presumes the bill of entries that no witness settled in time, and
-// forgets entries that ended long ago.
+// expire bills entries that nobody settled in time their presumed cost, and evicts
+// entries that finished before the retention period.
 func (m *Machine) expire(x *wire.Expire) {
 	for range maxExpirePerCommand {
-		k, deadline, ok := m.open.first()
+		k, deadline, ok := m.deadlines.peek()
 		if !ok || deadline >= x.GetPresumeBeforeUnixNano() {
 			break
 		}
-		m.open.drop()
+		m.deadlines.pop()
 		m.presume(k, deadline, x.GetNowUnixNano())
 	}
-	for _, i := range m.later {
-		m.open.add(i.key, i.deadline)
+	for _, i := range m.deferred {
+		m.deadlines.add(i.key, i.deadline)
 	}
-	m.later = nil
+	m.deferred = nil
 	n := 0
-	for n < len(m.done) && n < maxExpirePerCommand && m.done[n].at < x.GetRetainBeforeUnixNano() {
-		m.forget(m.done[n])
+	for n < len(m.finished) && n < maxExpirePerCommand && m.finished[n].finishedAt < x.GetRetainBeforeUnixNano() {
+		m.evict(m.finished[n])
 		n++
 	}
-	m.done = m.done[n:]
+	m.finished = m.finished[n:]
 }
 
-// presume bills the reservation: the request may have run and used all of it.
+// presume bills an overdue entry its whole reservation, since the request may have
+// run and used all of it.
 func (m *Machine) presume(k entryKey, deadline, now int64) {
 	e := m.entries[k]
 	if e.GetState() != wire.EntryState_ENTRY_STATE_RESERVED || e.GetDeadlineUnixNano() != deadline {
 		return
 	}
 	if e.GetHall() != "" {
-		m.presumeOfHall(k, e, now)
+		m.presumeHallEntry(k, e, now)
 		return
 	}
 	b := m.budgets[e.GetBudget()]
-	next := Presumed(e, now)
+	next := PresumedEntry(e, now)
 	b.reserved -= e.GetReserved()
 	b.spent += next.GetBilled()
-	m.end(k, next)
+	m.finish(k, next)
 	m.verify(e.GetBudget())
 }
 
-// presumeOfHall presumes an entry of a lost journal; one of a journal that
-// lives comes up again later.
-func (m *Machine) presumeOfHall(k entryKey, e *wire.Entry, now int64) {
+// presumeHallEntry bills an overdue entry of a lost journal. Entries of an active
+// journal are deferred to the next Expire command.
+func (m *Machine) presumeHallEntry(k entryKey, e *wire.Entry, now int64) {
 	if m.isOrphan(e) {
-		m.endOrphan(k, e, Presumed(e, now))
+		m.finishOrphan(k, e, PresumedEntry(e, now))
 		return
 	}
-	m.later = append(m.later, deadlineItem{k, e.GetDeadlineUnixNano()})
+	m.deferred = append(m.deferred, deadlineItem{k, e.GetDeadlineUnixNano()})
 }
 
-func (m *Machine) forget(d endedEntry) {
+func (m *Machine) evict(d finishedEntry) {
 	e := m.entries[d.key]
-	if e != nil && e.GetState() != wire.EntryState_ENTRY_STATE_RESERVED && e.GetUpdatedUnixNano() <= d.at {
+	if e != nil && e.GetState() != wire.EntryState_ENTRY_STATE_RESERVED && e.GetUpdatedUnixNano() <= d.finishedAt {
 		delete(m.entries, d.key)
 	}
 }
--- a/internal/ledger/heap.go
+++ b/internal/ledger/heap.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// deadlineHeap orders open entries by deadline. An entry that has ended, or
-// whose deadline has moved, is skipped when it comes up.
+// deadlineHeap orders reserved entries by deadline. Items of entries that have
+// finished, or whose deadline has changed, are skipped when they are popped.
 type deadlineHeap struct{ items deadlineItems }
 
 type deadlineItem struct {
@@ -29,12 +29,12 @@
 	heap.Push(&h.items, deadlineItem{k, deadline})
 }
 
-// first returns the item with the earliest deadline.
-func (h *deadlineHeap) first() (k entryKey, deadline int64, ok bool) {
+// peek returns the item with the earliest deadline.
+func (h *deadlineHeap) peek() (k entryKey, deadline int64, ok bool) {
 	if len(h.items) == 0 {
 		return entryKey{}, 0, false
 	}
 	return h.items[0].key, h.items[0].deadline, true
 }
 
-func (h *deadlineHeap) drop() { heap.Pop(&h.items) }
+func (h *deadlineHeap) pop() { heap.Pop(&h.items) }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 	"sumachead/api/wire"
 )
 
-// model follows a machine through random commands and checks what must hold.
+// model applies random commands to a machine and checks its invariants.
 type model struct {
 	t     *rapid.T
 	m     *Machine
@@ -67,7 +67,7 @@
 		Workspace: "w", Key: k, Attempt: uint32(rapid.IntRange(1, 3).Draw(t, "attempt")), NowUnixNano: d.now,
 		Tokens: rapid.Int64Range(-5, 100).Draw(t, "tokens"), Failed: rapid.Bool().Draw(t, "failed"),
 	}
-	// A run that was released is never reported as run: agents see to that.
+	// Agents never report a run of an entry that was released.
 	s.NotRun = before.GetState() == wire.EntryState_ENTRY_STATE_RELEASED || rapid.Bool().Draw(t, "notRun")
 	d.apply(&wire.LedgerCommand{Command: &wire.LedgerCommand_Settle{Settle: &wire.SettleBatch{Settles: []*wire.SettleRequest{s, s}}}})
 	after := d.m.entries[entryKey{"w", k}]
@@ -93,7 +93,7 @@
 	d.held[h] += int64(d.m.Granted("b", "h1", "i") + d.m.Granted("b", "h2", "i") - before)
 }
 
-// merge sends a record that a hall could write, twice.
+// merge sends a valid record of a hall's journal, twice.
 func (d *model) merge(t *rapid.T) {
 	h := rapid.SampledFrom([]string{"h1", "h2"}).Draw(t, "hall")
 	n := rapid.Int64Range(0, max(d.held[h], 0)).Draw(t, "tokens")
@@ -119,7 +119,7 @@
 	}}})
 }
 
-// restore replaces the machine by one that was restored from its snapshot.
+// restore replaces the machine by one restored from its snapshot.
 func (d *model) restore(t *rapid.T) {
 	data, err := d.m.Snapshot()()
 	if err != nil {
@@ -129,14 +129,14 @@
 	if err := next.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	again, err := next.Snapshot()()
-	if err != nil || string(again) != string(data) {
-		t.Fatalf("a restored snapshot differs: %v", err)
+	second, err := next.Snapshot()()
+	if err != nil || string(second) != string(data) {
+		t.Fatalf("snapshot of the restored machine differs: %v", err)
 	}
 	d.m = next
 }
 
-// check adds the budget up from the entries.
+// check compares the budget with the sum of its entries and allotments.
 func (d *model) check(t *rapid.T) {
 	if n := d.m.Violations(); n != 0 {
 		t.Fatalf("%d violations", n)
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestMoneyAddsUpUnderRandomCommands(t *testing.T) {
+func TestBudgetInvariantsUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &model{t: t, m: NewMachine(), seq: make(map[string]uint64), held: make(map[string]int64)}
 		t.Repeat(map[string]func(*rapid.T){
@@ -181,31 +181,31 @@
 		owner string
 		body  string
 		want  wire.LedgerCode
-		fresh bool
+		isNew bool
 	}{
 		{"new key", nil, "a", "x", wire.LedgerCode_LEDGER_CODE_GRANTED, true},
 		{"other body", entry(reserved, false, false), "a", "y", wire.LedgerCode_LEDGER_CODE_KEY_CONFLICT, false},
-		{"second arrival", entry(reserved, true, false), "a", "x", wire.LedgerCode_LEDGER_CODE_EXISTS, false},
+		{"other owner", entry(reserved, true, false), "a", "x", wire.LedgerCode_LEDGER_CODE_EXISTS, false},
 		{"resend", entry(reserved, true, false), "first", "x", wire.LedgerCode_LEDGER_CODE_GRANTED, false},
-		{"after the end", entry(settled, true, false), "a", "x", wire.LedgerCode_LEDGER_CODE_SETTLED, false},
-		{"after a failed run", entry(settled, false, true), "a", "x", wire.LedgerCode_LEDGER_CODE_GRANTED, true},
-		{"after a failed run, not repeatable", entry(settled, true, true), "a", "x", wire.LedgerCode_LEDGER_CODE_SETTLED, false},
-		{"after a release", entry(released, true, false), "a", "x", wire.LedgerCode_LEDGER_CODE_GRANTED, true},
-		{"late copy after a release", entry(released, true, false), "first", "x", wire.LedgerCode_LEDGER_CODE_STALE_ATTEMPT, false},
+		{"settled", entry(settled, true, false), "a", "x", wire.LedgerCode_LEDGER_CODE_SETTLED, false},
+		{"failed run", entry(settled, false, true), "a", "x", wire.LedgerCode_LEDGER_CODE_GRANTED, true},
+		{"failed run, not idempotent", entry(settled, true, true), "a", "x", wire.LedgerCode_LEDGER_CODE_SETTLED, false},
+		{"released", entry(released, true, false), "a", "x", wire.LedgerCode_LEDGER_CODE_GRANTED, true},
+		{"late duplicate after release", entry(released, true, false), "first", "x", wire.LedgerCode_LEDGER_CODE_STALE_ATTEMPT, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := &wire.ReserveRequest{BodyHash: []byte(tt.body), Attempt: &wire.Attempt{Owner: tt.owner}}
-			if code, fresh := Claim(tt.e, r); code != tt.want || fresh != tt.fresh {
-				t.Errorf("got %v, %v; want %v, %v", code, fresh, tt.want, tt.fresh)
+			if code, isNew := CheckClaim(tt.e, r); code != tt.want || isNew != tt.isNew {
+				t.Errorf("got %v, %v; want %v, %v", code, isNew, tt.want, tt.isNew)
 			}
 		})
 	}
 }
 
-// A reservation that a healed cut delivers late does not bill the request a
-// second time, in whichever order it comes.
-func TestLateReservationOfAHallsRequest(t *testing.T) {
+// A reservation that arrives late, after a network partition has healed, must not
+// bill the request twice, whichever of reservation and merge comes first.
+func TestLateReservationIsBilledOnce(t *testing.T) {
 	reserve := &wire.LedgerCommand{Command: &wire.LedgerCommand_Reserve{Reserve: &wire.ReserveRequest{
 		Workspace: "w", Key: "k", Budget: "b", Amount: 50, Attempt: &wire.Attempt{Owner: "o"},
 	}}}
@@ -221,7 +221,7 @@
 	}{
 		{"reservation first", []*wire.LedgerCommand{reserve, merge}, 20},
 		{"merge first", []*wire.LedgerCommand{merge, reserve}, 20},
-		{"withdrawn before it came", []*wire.LedgerCommand{withdraw, reserve}, 0},
+		{"withdrawal first", []*wire.LedgerCommand{withdraw, reserve}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/ledger/lookup.go
+++ b/internal/ledger/lookup.go
@@ -33,9 +33,9 @@
 	return b.state(string(id))
 }
 
-// BudgetsAfter returns the states of the budgets that follow an id, in order, at
-// most so many.
-func (m *Machine) BudgetsAfter(id string, most int) []*wire.BudgetState {
+// BudgetsAfter returns the states of up to limit budgets whose ids follow the
+// given id, in order.
+func (m *Machine) BudgetsAfter(id string, limit int) []*wire.BudgetState {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	var ids []string
@@ -46,14 +46,14 @@
 	}
 	slices.Sort(ids)
 	var out []*wire.BudgetState
-	for _, b := range ids[:min(most, len(ids))] {
+	for _, b := range ids[:min(limit, len(ids))] {
 		out = append(out, m.budgets[b].state(b))
 	}
 	return out
 }
 
-// Available returns what can still be reserved of a budget, and what is
-// reserved by requests under way.
+// Available returns the tokens of a budget that can still be reserved, and those
+// reserved by requests in flight.
 func (m *Machine) Available(id sumachead.BudgetID) (available, reserved sumachead.Tokens) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -64,19 +64,19 @@
 	return sumachead.Tokens(b.available()), sumachead.Tokens(b.reserved)
 }
 
-// Entry returns an entry, or nil. It must not be changed.
+// Entry returns an entry, or nil. The caller must not modify it.
 func (m *Machine) Entry(w sumachead.WorkspaceID, k sumachead.RequestKey) *wire.Entry {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.entries[entryKey{string(w), string(k)}]
 }
 
-// Lookup answers operators: budgets by id (all when empty), and entries of a
-// workspace, the newest first.
+// Lookup returns budgets by id (all if empty), and entries of a workspace, newest
+// first.
 func (m *Machine) Lookup(r *wire.LookupRequest) *wire.LookupReply {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	out := &wire.LookupReply{TotalsRevision: m.revision, Violations: m.violations}
+	out := &wire.LookupReply{TotalsRevision: m.totalsRevision, Violations: m.violations}
 	for _, id := range slices.Sorted(maps.Keys(m.budgets)) {
 		if r.GetBudget() == "" || r.GetBudget() == id {
 			out.Budgets = append(out.Budgets, m.budgets[id].state(id))
@@ -105,16 +105,16 @@
 	return out
 }
 
-// Violations returns how often an invariant was found broken.
+// Violations returns the number of invariant violations.
 func (m *Machine) Violations() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.violations
 }
 
-// TotalsRevision returns the settings revision whose totals are in force.
+// TotalsRevision returns the settings revision whose totals are applied.
 func (m *Machine) TotalsRevision() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.revision
+	return m.totalsRevision
 }
--- a/internal/ledger/machine.go
+++ b/internal/ledger/machine.go
@@ -11,7 +11,7 @@
 // maxExpirePerCommand bounds the work of one Expire command.
 const maxExpirePerCommand = 5000
 
-// entryKey finds an entry.
+// entryKey identifies an entry.
 type entryKey struct {
 	workspace string
 	key       string
@@ -22,16 +22,16 @@
 	total    int64
 	spent    int64
 	reserved int64
-	// allotted is the escrow of the data halls.
+	// allotted is the sum of the data halls' escrow.
 	allotted   int64
 	allotments map[allotmentKey]*wire.Allotment
-	// hallTopups are top-ups that data halls took and that the settings tree
-	// does not show yet.
+	// hallTopups are the top-ups that data halls accepted and that the settings
+	// tree does not contain yet, by id.
 	hallTopups map[string]int64
 	broken     bool
 }
 
-// available returns what can still be reserved or allotted.
+// available returns the tokens that can still be reserved or allotted.
 func (b *budget) available() int64 {
 	if b.broken {
 		return 0
@@ -39,34 +39,36 @@
 	return b.total - b.spent - b.reserved - b.allotted
 }
 
-// Machine is the ledger of one group. Reads are safe for concurrent use.
+// Machine is the state machine of the ledger group. It is safe for concurrent
+// use.
 type Machine struct {
 	mu      sync.RWMutex // guards the fields below
 	budgets map[string]*budget
 	entries map[entryKey]*wire.Entry
-	// done holds the keys of ended entries in the order in which they ended.
-	done []endedEntry
-	open deadlineHeap
-	// later are entries to look at again at the next expiry.
-	later    []deadlineItem
-	halls    map[string]*wire.Hall
-	revision uint64
-	// violations counts what must never happen.
+	// finished lists the settled and released entries in the order in which
+	// they finished.
+	finished  []finishedEntry
+	deadlines deadlineHeap
+	// deferred are the entries that the next Expire command checks again.
+	deferred       []deadlineItem
+	halls          map[string]*wire.Hall
+	totalsRevision uint64
+	// violations counts broken invariants.
 	violations uint64
 
-	// Room tells when tokens may have become free.
-	Room Room
+	// TokensFreed signals that tokens may have become available.
+	TokensFreed Notifier
 }
 
-// allotmentKey finds a budget's escrow at one journal.
+// allotmentKey identifies a budget's escrow in one journal.
 type allotmentKey struct {
 	hall        string
 	incarnation string
 }
 
-type endedEntry struct {
-	key entryKey
-	at  int64
+type finishedEntry struct {
+	key        entryKey
+	finishedAt int64
 }
 
 // NewMachine returns an empty ledger.
@@ -92,10 +94,10 @@
 	case *wire.LedgerCommand_Reassign:
 		return m.reassign(x.Reassign)
 	case *wire.LedgerCommand_Settle:
-		defer m.Room.Freed()
-		return m.settleAll(x.Settle)
+		defer m.TokensFreed.Broadcast()
+		return m.settleBatch(x.Settle)
 	case *wire.LedgerCommand_Totals:
-		defer m.Room.Freed()
+		defer m.TokensFreed.Broadcast()
 		m.setTotals(x.Totals)
 	case *wire.LedgerCommand_Expire:
 		m.expire(x.Expire)
@@ -106,7 +108,7 @@
 			m.grant(g)
 		}
 	case *wire.LedgerCommand_Merge:
-		defer m.Room.Freed()
+		defer m.TokensFreed.Broadcast()
 		m.merge(x.Merge)
 	case *wire.LedgerCommand_WriteOff:
 		m.writeOff(x.WriteOff)
@@ -117,11 +119,11 @@
 func (m *Machine) reserve(r *wire.ReserveRequest) *wire.LedgerReply {
 	k := entryKey{r.GetWorkspace(), r.GetKey()}
 	e := m.entries[k]
-	if e.GetHall() != "" && e.GetState() == wire.EntryState_ENTRY_STATE_SETTLED && reopens(e) {
+	if e.GetHall() != "" && e.GetState() == wire.EntryState_ENTRY_STATE_SETTLED && isRetryable(e) {
 		return reply(wire.LedgerCode_LEDGER_CODE_SETTLED, e) // the hall's journal decides
 	}
-	code, fresh := Claim(e, r)
-	if !fresh {
+	code, isNew := CheckClaim(e, r)
+	if !isNew {
 		return reply(code, e)
 	}
 	b := m.budgets[r.GetBudget()]
@@ -133,43 +135,43 @@
 		rep.Budget = b.state(r.GetBudget())
 		return rep
 	}
-	next := Opened(e, r, "")
+	next := ReservedEntry(e, r, "")
 	b.spent -= next.GetCarried()
 	b.reserved += next.GetReserved()
 	m.entries[k] = next
-	m.open.add(k, next.GetDeadlineUnixNano())
+	m.deadlines.add(k, next.GetDeadlineUnixNano())
 	m.verify(r.GetBudget())
 	return reply(wire.LedgerCode_LEDGER_CODE_GRANTED, next)
 }
 
-// reassign moves an entry to its next attempt. Entries are replaced, never
-// changed: a reply that shares one stays as it was.
+// reassign moves an entry to its next attempt. Entries are immutable and get
+// replaced, so that replies can share them.
 func (m *Machine) reassign(r *wire.ReassignRequest) *wire.LedgerReply {
 	k := entryKey{r.GetWorkspace(), r.GetKey()}
 	e := m.entries[k]
 	if e.GetHall() != "" {
 		return reply(wire.LedgerCode_LEDGER_CODE_EXISTS, e) // the hall's journal decides
 	}
-	code, fresh := Move(e, r)
-	if !fresh {
+	code, isNew := CheckReassign(e, r)
+	if !isNew {
 		return reply(code, e)
 	}
 	b := m.budgets[e.GetBudget()]
-	used := UsedBefore(e, r)
+	used := FailedAttemptUsage(e, r)
 	if used > b.available() {
 		return reply(wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED, e)
 	}
 	b.reserved += used
-	next := Moved(e, r)
+	next := ReassignedEntry(e, r)
 	m.entries[k] = next
 	if next.GetDeadlineUnixNano() != e.GetDeadlineUnixNano() {
-		m.open.add(k, next.GetDeadlineUnixNano())
+		m.deadlines.add(k, next.GetDeadlineUnixNano())
 	}
 	m.verify(e.GetBudget())
 	return reply(wire.LedgerCode_LEDGER_CODE_GRANTED, next)
 }
 
-func (m *Machine) settleAll(b *wire.SettleBatch) *wire.LedgerReplies {
+func (m *Machine) settleBatch(b *wire.SettleBatch) *wire.LedgerReplies {
 	out := &wire.LedgerReplies{}
 	for _, s := range b.GetSettles() {
 		out.Replies = append(out.Replies, m.settle(s))
@@ -177,31 +179,31 @@
 	return out
 }
 
-// settle ends an entry once; later reports change nothing, but for the actual
-// usage of an entry whose bill was presumed.
+// settle settles or releases an entry once. Later reports have no effect, except
+// that actual usage replaces a presumed bill.
 func (m *Machine) settle(s *wire.SettleRequest) *wire.LedgerReply {
 	k := entryKey{s.GetWorkspace(), s.GetKey()}
 	e := m.entries[k]
 	if e == nil {
-		if w := Withdrawn(s, ""); w != nil {
-			m.end(k, w)
+		if w := WithdrawalTombstone(s, ""); w != nil {
+			m.finish(k, w)
 		}
 		return reply(wire.LedgerCode_LEDGER_CODE_NO_ENTRY, nil)
 	}
 	if e.GetHall() != "" && !m.isOrphan(e) {
 		return reply(wire.LedgerCode_LEDGER_CODE_EXISTS, e) // the hall's journal decides
 	}
-	ends, lateRun := Ends(e, s)
-	if lateRun {
+	settles, ranAfterRelease := CheckSettle(e, s)
+	if ranAfterRelease {
 		m.violations++
 	}
-	if !ends {
+	if !settles {
 		return reply(wire.LedgerCode_LEDGER_CODE_STALE_ATTEMPT, e)
 	}
 	b := m.budgets[e.GetBudget()]
-	next := Ended(e, s)
+	next := SettledEntry(e, s)
 	if e.GetHall() != "" {
-		m.endOrphan(k, e, next)
+		m.finishOrphan(k, e, next)
 		return reply(wire.LedgerCode_LEDGER_CODE_SETTLED, next)
 	}
 	if e.GetPresumed() {
@@ -210,24 +212,24 @@
 		b.reserved -= e.GetReserved()
 	}
 	b.spent += next.GetBilled()
-	m.end(k, next)
+	m.finish(k, next)
 	m.verify(e.GetBudget())
 	return reply(wire.LedgerCode_LEDGER_CODE_SETTLED, next)
 }
 
-// end stores an ended entry and notes when it may be forgotten.
-func (m *Machine) end(k entryKey, e *wire.Entry) {
+// finish stores a settled or released entry and queues it for eviction.
+func (m *Machine) finish(k entryKey, e *wire.Entry) {
 	m.entries[k] = e
-	m.done = append(m.done, endedEntry{k, e.GetUpdatedUnixNano()})
+	m.finished = append(m.finished, finishedEntry{k, e.GetUpdatedUnixNano()})
 }
 
-// setTotals takes in the budgets' totals from the settings tree. A total below
-// what is already committed takes effect as far as it can.
+// setTotals applies the totals of the budgets from the settings tree. A total
+// below the tokens already spent, reserved or allotted is raised to these.
 func (m *Machine) setTotals(t *wire.SetTotals) {
-	if t.GetRevision() <= m.revision {
+	if t.GetRevision() <= m.totalsRevision {
 		return
 	}
-	m.revision = t.GetRevision()
+	m.totalsRevision = t.GetRevision()
 	for _, x := range t.GetTotals() {
 		b := m.budget(x.GetBudget())
 		for _, id := range x.GetHallTopups() {
@@ -250,7 +252,8 @@
 	return b
 }
 
-// verify checks the invariant of a budget after a change.
+// verify checks the invariant of a budget after a change. A budget that violates
+// it is marked as broken.
 func (m *Machine) verify(id string) {
 	b := m.budgets[id]
 	if b.spent+b.reserved+b.allotted > b.total || min(b.spent, b.reserved, b.allotted) < 0 {
--- a/internal/ledger/room.go
+++ b/internal/ledger/room.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Room tells those who wait for tokens when some may have become free. The
-// zero value is ready for use.
-type Room struct {
+// Notifier wakes goroutines that wait for tokens when some may have become
+// available. The zero value is ready for use.
+type Notifier struct {
 	mu sync.Mutex // guards ch
 	ch chan struct{}
 }
 
-// Next returns a channel that closes when tokens may have become free.
-func (r *Room) Next() <-chan struct{} {
+// Changed returns a channel that is closed by the next call of Broadcast.
+func (r *Notifier) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ch == nil {
@@ -22,8 +22,8 @@
 	return r.ch
 }
 
-// Freed wakes those who wait.
-func (r *Room) Freed() {
+// Broadcast wakes all waiting goroutines.
+func (r *Notifier) Broadcast() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ch != nil {
@@ -32,14 +32,14 @@
 	}
 }
 
-// Await waits until fits holds, at the latest until the deadline; it reports
-// whether fits held.
-func (r *Room) Await(deadline time.Time, fits func() bool) bool {
+// Await waits until cond is true or the deadline has passed, and reports whether
+// cond was true. It evaluates cond after each Broadcast.
+func (r *Notifier) Await(deadline time.Time, cond func() bool) bool {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
-		next := r.Next()
-		if fits() {
+		next := r.Changed()
+		if cond() {
 			return true
 		}
 		select {
--- a/internal/ledger/rules.go
+++ b/internal/ledger/rules.go
@@ -8,13 +8,13 @@
 	"sumachead/api/wire"
 )
 
-// The rules of an entry's life. The ledger and the halls' journals share them;
-// each keeps its own account of the money.
+// The rules of an entry's lifecycle. The ledger and the journals of the halls
+// share them, and each does its own accounting of tokens.
 
-// Claim decides about a reservation of a key that has the entry e, or none. It
-// returns GRANTED with fresh set when a new attempt may be written, and
-// otherwise the code to answer with.
-func Claim(e *wire.Entry, r *wire.ReserveRequest) (code wire.LedgerCode, fresh bool) {
+// CheckClaim decides about a reservation for a key whose entry is e, or nil. It
+// returns GRANTED and isNew if a new attempt may be written, and otherwise the
+// code to reply with.
+func CheckClaim(e *wire.Entry, r *wire.ReserveRequest) (code wire.LedgerCode, isNew bool) {
 	if e == nil {
 		return wire.LedgerCode_LEDGER_CODE_GRANTED, true
 	}
@@ -24,7 +24,7 @@
 	sameOwner := e.GetAttempt().GetOwner() == r.GetAttempt().GetOwner()
 	switch e.GetState() {
 	case wire.EntryState_ENTRY_STATE_SETTLED:
-		if reopens(e) && !sameOwner {
+		if isRetryable(e) && !sameOwner {
 			return wire.LedgerCode_LEDGER_CODE_GRANTED, true
 		}
 		return wire.LedgerCode_LEDGER_CODE_SETTLED, false
@@ -35,22 +35,22 @@
 		return wire.LedgerCode_LEDGER_CODE_EXISTS, false
 	}
 	if sameOwner {
-		// A late copy of a call whose entry has been released since.
+		// A late duplicate of a call whose entry has been released since.
 		return wire.LedgerCode_LEDGER_CODE_STALE_ATTEMPT, false
 	}
 	return wire.LedgerCode_LEDGER_CODE_GRANTED, true
 }
 
-// reopens reports whether an ended entry's key may run again: its answer never
-// became whole.
-func reopens(e *wire.Entry) bool {
+// isRetryable reports whether the key of a settled entry may run again, because
+// the response was never complete.
+func isRetryable(e *wire.Entry) bool {
 	return e.GetFailed() && !e.GetNotRepeatable()
 }
 
-// Opened returns the entry that a granted reservation writes; old is the ended
-// entry that the same key left behind, or nil. What old was billed stays part
-// of the request's one bill.
-func Opened(old *wire.Entry, r *wire.ReserveRequest, hall string) *wire.Entry {
+// ReservedEntry returns the entry that a granted reservation writes. Any previous
+// entry of the same key is passed as old; its bill becomes part of the bill of
+// the new one.
+func ReservedEntry(old *wire.Entry, r *wire.ReserveRequest, hall string) *wire.Entry {
 	a := proto.CloneOf(r.GetAttempt())
 	a.Number = old.GetAttempt().GetNumber() + 1
 	carried := old.GetBilled()
@@ -62,9 +62,10 @@
 	}
 }
 
-// Move decides about a move of an entry to its next attempt. It returns GRANTED
-// with fresh set when the attempt may be written.
-func Move(e *wire.Entry, r *wire.ReassignRequest) (code wire.LedgerCode, fresh bool) {
+// CheckReassign decides whether an entry moves to its next attempt. It returns
+// GRANTED and isNew if the attempt may be written, and otherwise the code to
+// reply with.
+func CheckReassign(e *wire.Entry, r *wire.ReassignRequest) (code wire.LedgerCode, isNew bool) {
 	switch {
 	case e == nil:
 		return wire.LedgerCode_LEDGER_CODE_NO_ENTRY, false
@@ -76,26 +77,26 @@
 		return wire.LedgerCode_LEDGER_CODE_GRANTED, false // a resend
 	case e.GetAttempt().GetNumber() != r.GetFrom():
 		return wire.LedgerCode_LEDGER_CODE_STALE_ATTEMPT, false
-	case e.GetNotRepeatable() && !r.GetNotRun() && !sameProcess(e.GetAttempt(), r.GetAttempt()):
-		// The old attempt may run: only its own process may take it on.
+	case e.GetNotRepeatable() && !r.GetNotRun() && !isSameIncarnation(e.GetAttempt(), r.GetAttempt()):
+		// The old attempt may be running, so only its own process may continue.
 		return wire.LedgerCode_LEDGER_CODE_STALE_ATTEMPT, false
 	}
 	return wire.LedgerCode_LEDGER_CODE_GRANTED, true
 }
 
-func sameProcess(a, b *wire.Attempt) bool {
+func isSameIncarnation(a, b *wire.Attempt) bool {
 	return a.GetServer() == b.GetServer() && a.GetBoot() == b.GetBoot()
 }
 
-// UsedBefore returns by how much a move makes the reservation grow: what the
-// attempt that failed is known to have used.
-func UsedBefore(e *wire.Entry, r *wire.ReassignRequest) int64 {
+// FailedAttemptUsage returns the tokens that the failed attempt is known to have
+// used. The reservation grows by these when the entry is reassigned.
+func FailedAttemptUsage(e *wire.Entry, r *wire.ReassignRequest) int64 {
 	return min(max(r.GetUsed(), 0), e.GetReserved()-e.GetCarried())
 }
 
-// Moved returns the entry as a granted move leaves it.
-func Moved(e *wire.Entry, r *wire.ReassignRequest) *wire.Entry {
-	used := UsedBefore(e, r)
+// ReassignedEntry returns the entry after a granted reassignment.
+func ReassignedEntry(e *wire.Entry, r *wire.ReassignRequest) *wire.Entry {
+	used := FailedAttemptUsage(e, r)
 	next := proto.CloneOf(e)
 	next.Reserved += used
 	next.Carried += used
@@ -106,12 +107,12 @@
 	return next
 }
 
-// Ends reports whether a settle report ends the entry e, or corrects an end
-// that was presumed. Only the present attempt can end it without a whole
-// answer; lateRun tells that a run was reported after the entry had been
-// released as not run, which must never happen.
-func Ends(e *wire.Entry, s *wire.SettleRequest) (ends, lateRun bool) {
-	if (s.GetNotRun() || s.GetFailed()) && !isCurrent(s, e) {
+// CheckSettle reports whether a settle request settles or releases the entry e, or
+// corrects a presumed bill. Without a complete response only the current attempt
+// can do so. ranAfterRelease reports a run of an entry that had been released as
+// not run, which must never happen.
+func CheckSettle(e *wire.Entry, s *wire.SettleRequest) (settles, ranAfterRelease bool) {
+	if (s.GetNotRun() || s.GetFailed()) && !isCurrentAttempt(s, e) {
 		return false, false
 	}
 	switch {
@@ -123,10 +124,10 @@
 	return false, false
 }
 
-// Withdrawn returns the entry by which a withdrawal that comes before its own
-// reservation is remembered: the reservation, should it still arrive, is then
-// refused. It returns nil when s is no withdrawal.
-func Withdrawn(s *wire.SettleRequest, hall string) *wire.Entry {
+// WithdrawalTombstone returns the entry that records a withdrawal received before
+// its own reservation, so that the reservation is refused if it still arrives. It
+// returns nil if s is not a withdrawal.
+func WithdrawalTombstone(s *wire.SettleRequest, hall string) *wire.Entry {
 	if !s.GetNotRun() || s.GetOwner() == "" {
 		return nil
 	}
@@ -136,22 +137,24 @@
 	}
 }
 
-// isCurrent reports whether a report is of the entry's present attempt.
-func isCurrent(s *wire.SettleRequest, e *wire.Entry) bool {
+// isCurrentAttempt reports whether a settle request is for the entry's current
+// attempt.
+func isCurrentAttempt(s *wire.SettleRequest, e *wire.Entry) bool {
 	if s.GetAttempt() == 0 {
 		return s.GetOwner() == e.GetAttempt().GetOwner()
 	}
 	return s.GetAttempt() == e.GetAttempt().GetNumber()
 }
 
-// Ended returns the entry as a settle report ends it.
-func Ended(e *wire.Entry, s *wire.SettleRequest) *wire.Entry {
+// SettledEntry returns the entry after a settle request: settled with its bill, or
+// released if it did not run.
+func SettledEntry(e *wire.Entry, s *wire.SettleRequest) *wire.Entry {
 	next := proto.CloneOf(e)
 	next.Presumed = false
 	next.Failed = s.GetFailed()
 	next.UpdatedUnixNano = max(s.GetNowUnixNano(), e.GetUpdatedUnixNano())
 	if s.GetNotRun() {
-		// Earlier attempts may have used something.
+		// Earlier attempts may have used tokens.
 		next.State = wire.EntryState_ENTRY_STATE_RELEASED
 		next.Billed = e.GetCarried()
 		return next
@@ -161,9 +164,9 @@
 	return next
 }
 
-// Presumed returns the entry as its end is presumed when no witness of the run
-// is left: it may have used all that was reserved.
-func Presumed(e *wire.Entry, now int64) *wire.Entry {
+// PresumedEntry returns the entry after its deadline has passed without a
+// settlement. It is billed its whole reservation, which it may have used.
+func PresumedEntry(e *wire.Entry, now int64) *wire.Entry {
 	next := proto.CloneOf(e)
 	next.State = wire.EntryState_ENTRY_STATE_SETTLED
 	next.Presumed = true
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -15,7 +15,7 @@
 func (m *Machine) Snapshot() func() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	s := &wire.LedgerSnapshot{TotalsRevision: m.revision, Violations: m.violations}
+	s := &wire.LedgerSnapshot{TotalsRevision: m.totalsRevision, Violations: m.violations}
 	for _, id := range slices.Sorted(maps.Keys(m.budgets)) {
 		b := m.budgets[id]
 		st := b.state(id)
@@ -26,7 +26,7 @@
 	for _, h := range slices.Sorted(maps.Keys(m.halls)) {
 		s.Halls = append(s.Halls, m.halls[h])
 	}
-	// Entries are replaced, never changed: the list alone is the capture.
+	// Entries are immutable, so copying the list is enough.
 	s.Entries = slices.Collect(maps.Values(m.entries))
 	return func() ([]byte, error) { return encodeSnapshot(s) }
 }
@@ -50,11 +50,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.budgets, m.entries = make(map[string]*budget), make(map[entryKey]*wire.Entry)
-	m.done, m.open, m.halls = nil, deadlineHeap{}, make(map[string]*wire.Hall)
+	m.finished, m.deadlines, m.halls = nil, deadlineHeap{}, make(map[string]*wire.Hall)
 	for _, h := range s.GetHalls() {
 		m.halls[h.GetHall()] = h
 	}
-	m.revision, m.violations = s.GetTotalsRevision(), s.GetViolations()
+	m.totalsRevision, m.violations = s.GetTotalsRevision(), s.GetViolations()
 	for _, st := range s.GetBudgets() {
 		b := m.budget(st.GetBudget())
 		b.total, b.spent, b.reserved, b.allotted = st.GetTotal(), st.GetSpent(), st.GetReserved(), st.GetAllotted()
@@ -68,10 +68,10 @@
 		k := entryKey{e.GetWorkspace(), e.GetKey()}
 		m.entries[k] = e
 		if e.GetState() == wire.EntryState_ENTRY_STATE_RESERVED {
-			m.open.add(k, e.GetDeadlineUnixNano())
+			m.deadlines.add(k, e.GetDeadlineUnixNano())
 			continue
 		}
-		m.done = append(m.done, endedEntry{k, e.GetUpdatedUnixNano()})
+		m.finished = append(m.finished, finishedEntry{k, e.GetUpdatedUnixNano()})
 	}
 	return nil
 }
