--- a/internal/journal/files.go
+++ b/internal/journal/files.go
@@ -13,28 +13,28 @@
 	"sumachead/internal/wal"
 )
 
-// compactBytes is the size of the log at which a snapshot replaces it.
-const compactBytes = 16 << 20
+// compactionThresholdBytes is the log size at which a snapshot replaces the log.
+const compactionThresholdBytes = 16 << 20
 
-// files are a snapshot and the log that follows it. Both carry a generation
-// number; a new generation replaces the old one.
-type files struct {
+// store holds a snapshot and the log of the records after it. The names of both
+// files contain a generation number; each compaction starts a new generation.
+type store struct {
 	dir        string
 	generation uint64
 	log        *wal.Log
 }
 
-func (f *files) snapshotPath(g uint64) string {
+func (f *store) snapshotPath(g uint64) string {
 	return filepath.Join(f.dir, fmt.Sprintf("snapshot-%012d", g))
 }
 
-func (f *files) logPath(g uint64) string {
+func (f *store) logPath(g uint64) string {
 	return filepath.Join(f.dir, fmt.Sprintf("log-%012d", g))
 }
 
-// openFiles reads the newest generation.
-func openFiles(dir string, restore, replay func([]byte) error) (*files, error) {
-	f := &files{dir: dir}
+// openStore opens the newest generation and replays it.
+func openStore(dir string, restore, replay func([]byte) error) (*store, error) {
+	f := &store{dir: dir}
 	names, err := filepath.Glob(filepath.Join(dir, "snapshot-*"))
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -58,8 +58,8 @@
 	return f, err
 }
 
-// replace starts a new generation with a snapshot.
-func (f *files) replace(snapshot []byte) error {
+// compact starts a new generation with a snapshot and deletes the previous one.
+func (f *store) compact(snapshot []byte) error {
 	next := f.generation + 1
 	if err := wal.WriteFile(f.snapshotPath(next), snapshot); err != nil {
 		return err
@@ -81,14 +81,14 @@
 	return wal.SyncFolder(f.dir)
 }
 
-// Run syncs what is written until ctx ends. An error means that the disk has
-// failed: the process must not go on.
+// Run syncs appended records to disk until ctx is done. An error means that the
+// disk has failed and the process must exit.
 func (j *Journal) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			j.fail(context.Canceled)
-			return trace.Wrap(j.files.log.Close())
+			return trace.Wrap(j.store.log.Close())
 		case <-j.wake:
 		}
 		if err := j.sync(); err != nil {
@@ -98,15 +98,15 @@
 	}
 }
 
-// sync writes the pending records with one sync and answers those who wait.
+// sync writes all pending records with one disk sync and wakes the waiters.
 func (j *Journal) sync() error {
 	j.mu.Lock()
 	batch := &wire.JournalBatch{Records: j.pending}
-	waiting := j.waiting
-	j.waiting = nil
+	waiters := j.waiters
+	j.waiters = nil
 	j.mu.Unlock()
 	err := j.persist(batch)
-	for _, w := range waiting {
+	for _, w := range waiters {
 		w <- err
 	}
 	return err
@@ -121,29 +121,29 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := j.files.log.Append(data); err != nil {
+	if err := j.store.log.Append(data); err != nil {
 		return err
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.pending = j.pending[n:]
-	if j.files.log.Size() < compactBytes || len(j.pending) > 0 {
+	if j.store.log.Size() < compactionThresholdBytes || len(j.pending) > 0 {
 		return nil
 	}
 	snapshot, err := j.snapshot()
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return j.files.replace(snapshot)
+	return j.store.compact(snapshot)
 }
 
-// fail ends all steps, those that wait and those to come.
+// fail makes all waiting and future updates fail with err.
 func (j *Journal) fail(err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.failed = err
-	for _, w := range j.waiting {
+	j.failure = err
+	for _, w := range j.waiters {
 		w <- err
 	}
-	j.waiting = nil
+	j.waiters = nil
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -49,68 +49,68 @@
 	}
 }
 
-// A crash at any byte of the log loses nothing that was answered and never
-// lets the hall spend more than it was granted.
+// A crash at any byte of the log must not lose an update that was replied to, nor
+// let the hall spend more than it was granted.
 func TestCrashAtEveryByte(t *testing.T) {
 	dir := t.TempDir()
 	j, stop := open(t, dir, 100)
-	path := j.files.log.Path()
-	type mark struct {
+	path := j.store.log.Path()
+	type checkpoint struct {
 		size int64
 		want int64
 	}
-	var marks []mark
-	step := func(f func()) {
+	var checkpoints []checkpoint
+	do := func(f func()) {
 		f()
 		available, _ := j.Available("b")
-		marks = append(marks, mark{j.files.log.Size(), int64(available)})
+		checkpoints = append(checkpoints, checkpoint{j.store.log.Size(), int64(available)})
 	}
-	step(func() { reserve(t, j, "k1", 40) })
-	step(func() { settle(t, j, "k1", 10) })
-	step(func() {
+	do(func() { reserve(t, j, "k1", 40) })
+	do(func() { settle(t, j, "k1", 10) })
+	do(func() {
 		if err := j.Topup("b", "h~1", 7); err != nil {
 			t.Fatal(err)
 		}
 	})
-	step(func() {
-		if n, err := j.Return("b", 30); err != nil || n != 30 {
+	do(func() {
+		if n, err := j.ReturnTokens("b", 30); err != nil || n != 30 {
 			t.Fatal(n, err)
 		}
 	})
-	step(func() { reserve(t, j, "k2", 67) })
+	do(func() { reserve(t, j, "k2", 67) })
 	if code := reserve(t, j, "k3", 1); code != wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED {
-		t.Fatalf("spent beyond the grant: %v", code)
+		t.Fatalf("reserved more than granted: %v", code)
 	}
 	stop()
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := int64(0); cut <= int64(len(data)); cut++ {
+	for size := int64(0); size <= int64(len(data)); size++ {
 		want := int64(100)
-		for _, m := range marks {
-			if m.size <= cut {
+		for _, m := range checkpoints {
+			if m.size <= size {
 				want = m.want
 			}
 		}
-		again := filepath.Join(t.TempDir(), "j")
-		if err := os.MkdirAll(again, 0o750); err != nil {
+		truncated := filepath.Join(t.TempDir(), "j")
+		if err := os.MkdirAll(truncated, 0o750); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(again, filepath.Base(path)), data[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(truncated, filepath.Base(path)), data[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		k := &Journal{Dir: again, Hall: "h", Incarnation: "i", Granted: j.Granted}
+		k := &Journal{Dir: truncated, Hall: "h", Incarnation: "i", Granted: j.Granted}
 		if err := k.Open(); err != nil {
 			t.Fatal(err)
 		}
 		if got, _ := k.Available("b"); int64(got) != want {
-			t.Fatalf("after a crash at byte %d: available %d, want %d", cut, got, want)
+			t.Fatalf("after a crash at byte %d: available %d, want %d", size, got, want)
 		}
 	}
 }
 
-// A snapshot holds all that the log held, the unmerged records too.
+// A snapshot must contain the whole state, including the unmerged records.
 func TestCompaction(t *testing.T) {
 	dir := t.TempDir()
 	j, stop := open(t, dir, 1000)
@@ -118,13 +118,13 @@
 		reserve(t, j, fmt.Sprintf("k%d", i), 10)
 		settle(t, j, fmt.Sprintf("k%d", i), 5)
 	}
-	j.Merged(30)
+	j.MarkMerged(30)
 	want := j.Unmerged(0, 100)
 	available, reserved := j.Available("b")
 	j.mu.Lock()
 	data, err := j.snapshot()
 	if err == nil {
-		err = j.files.replace(data)
+		err = j.store.compact(data)
 	}
 	j.mu.Unlock()
 	if err != nil {
@@ -146,17 +146,17 @@
 		t.Errorf("unmerged (-want +got):\n%s", diff)
 	}
 	if code := reserve(t, k, "k3", 10); code != wire.LedgerCode_LEDGER_CODE_SETTLED {
-		t.Errorf("an ended key answers %v", code)
+		t.Errorf("a settled key returned %v", code)
 	}
 }
 
-func TestForeignIncarnationIsRefused(t *testing.T) {
+func TestOpenRejectsOtherIncarnation(t *testing.T) {
 	dir := t.TempDir()
 	j, stop := open(t, dir, 10)
 	j.mu.Lock()
 	data, err := j.snapshot()
 	if err == nil {
-		err = j.files.replace(data)
+		err = j.store.compact(data)
 	}
 	j.mu.Unlock()
 	stop()
@@ -165,6 +165,6 @@
 	}
 	other := &Journal{Dir: dir, Hall: "h", Incarnation: "other", Granted: j.Granted}
 	if err := other.Open(); err == nil {
-		t.Error("another incarnation opened the journal")
+		t.Error("journal of another incarnation was opened")
 	}
 }
--- a/internal/keeper/grants_test.go
+++ b/internal/keeper/grants_test.go
@@ -70,7 +70,7 @@
 				granted += n
 				tt.left -= n
 				if requests <= tt.recalls {
-					if _, err := j.Return("b", 1<<40); err != nil {
+					if _, err := j.ReturnTokens("b", 1<<40); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/internal/keeper/hallservice.go
+++ b/internal/keeper/hallservice.go
@@ -194,7 +194,7 @@
 // replies.
 func (s *hallService) Recall(r *wire.RecallRequest, _ *wire.Empty) error {
 	k := s.keeper
-	n, err := k.journal.Return(sumachead.BudgetID(r.GetBudget()), sumachead.Tokens(r.GetAmount()))
+	n, err := k.journal.ReturnTokens(sumachead.BudgetID(r.GetBudget()), sumachead.Tokens(r.GetAmount()))
 	if err != nil || n == 0 {
 		return err
 	}
--- a/internal/keeper/merge.go
+++ b/internal/keeper/merge.go
@@ -20,7 +20,7 @@
 // leader.
 func (k *Keeper) mergeLoop(ctx context.Context) error {
 	if k.identity.GetJoined() {
-		if err := k.journal.Introduce(); err != nil {
+		if err := k.journal.Register(); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -43,7 +43,7 @@
 	for {
 		h := k.ledger.Hall(k.Config.Hall)
 		if h.GetKeeperIncarnation() == k.identity.GetIncarnation() {
-			k.journal.Merged(h.GetMergedSeq())
+			k.journal.MarkMerged(h.GetMergedSeq())
 			k.mergedSeq = max(k.mergedSeq, h.GetMergedSeq())
 		}
 		records := k.journal.Unmerged(k.mergedSeq, maxMergeBatch)
