--- a/internal/allot/allot.go
+++ b/internal/allot/allot.go
@@ -1,9 +1,9 @@
-// Package allot decides how much of a budget each data hall holds for the time
-// when it is cut off.
+// Package allot decides how many tokens of a budget each data hall holds in
+// advance, to spend while it is cut off from the ledger.
 //
-// The [Policy] in use goes by [Plan]: halls hold half of the allotments equally
-// and half in proportion to their demand, and give back as a budget runs low.
-// The others are baselines for measuring.
+// The default [Policy] uses [Plan]: half of the allotments is divided equally
+// among the halls and half in proportion to their demand, and halls return tokens
+// as a budget runs low. The other policies are baselines for comparison.
 package allot
 
 import (
@@ -15,95 +15,97 @@
 )
 
 const (
-	// allottedPart is the part of a budget that is out in allotments, in
-	// percent; the rest pays without a recall. This and equalPart are those
-	// that refused least falsely in the admission experiment.
-	allottedPart = 90
-	// equalPart is the part of the allotments that is shared equally, in
-	// percent: a hall without demand so far may need some too.
-	equalPart = 50
-	// horizon is the time for which a hall's demand is covered at the most.
-	horizon = time.Hour
-	// floorTokens is the least that the horizon's bound comes to.
-	floorTokens = 200_000
-	// A hall whose holding is within these percentages of its target is left
-	// alone.
-	lowPercent  = 80
-	highPercent = 130
-	percent     = 100
+	// allottedPercent is the share of a budget's remaining tokens that is
+	// allotted to halls. The rest can be reserved without a recall. These values
+	// of allottedPercent and equalPercent had the fewest false refusals in
+	// BenchmarkAdmission.
+	allottedPercent = 90
+	// equalPercent is the share of the allotments that is divided equally, since
+	// a hall without demand so far may need tokens too.
+	equalPercent = 50
+	// demandHorizon is the maximum time for which an allotment covers a hall's
+	// demand.
+	demandHorizon = time.Hour
+	// minHorizonTokens is the minimum of the bound that demandHorizon sets.
+	minHorizonTokens = 200_000
+	// A hall whose allotment is within these percentages of its target is not
+	// adjusted.
+	minTargetPercent = 80
+	maxTargetPercent = 130
+	hundredPercent   = 100
 )
 
-// Hall is one data hall as the policy sees it.
+// Hall is the state of a data hall that a policy uses.
 type Hall struct {
 	ID sumachead.HallID
-	// Live: its keeper is in contact.
+	// Connected reports whether the keeper of the hall's journal is connected.
 	Live bool
 	Held int64
-	// Demand is the tokens reserved a second from the hall.
+	// Demand is the rate of reservations from the hall, in tokens per second.
 	Demand float64
 }
 
-// Input is what a plan is made from.
+// Input is the state of one budget for which a policy plans.
 type Input struct {
-	// Available can be granted.
+	// Available is the number of tokens that can be granted.
 	Available int64
 	Halls     []Hall
 }
 
-// Step gives tokens to a hall, or takes them back when negative.
-type Step struct {
+// Adjustment grants tokens to a hall, or recalls them if Tokens is negative.
+type Adjustment struct {
 	Hall   sumachead.HallID
 	Tokens int64
 }
 
-// Plan returns what to grant and recall now. A hall that is out of contact is
-// neither granted to nor recalled from.
-func Plan(in Input) []Step {
-	left := in.Available
+// Plan returns the grants and recalls to make now. A disconnected hall gets
+// neither.
+func Plan(in Input) []Adjustment {
+	available := in.Available
 	for _, h := range in.Halls {
 		if h.Live {
-			left += max(h.Held, 0)
+			available += max(h.Held, 0)
 		}
 	}
-	var steps []Step
+	var steps []Adjustment
 	for _, h := range in.Halls {
 		if !h.Live {
 			continue
 		}
-		target := target(in, h, left)
+		target := target(in, h, available)
 		switch {
-		case h.Held*percent < target*lowPercent:
-			steps = append(steps, Step{h.ID, target - h.Held})
-		case h.Held*percent > target*highPercent && h.Held-target > 1:
-			steps = append(steps, Step{h.ID, target - h.Held})
+		case h.Held*hundredPercent < target*minTargetPercent:
+			steps = append(steps, Adjustment{h.ID, target - h.Held})
+		case h.Held*hundredPercent > target*maxTargetPercent && h.Held-target > 1:
+			steps = append(steps, Adjustment{h.ID, target - h.Held})
 		}
 	}
 	return steps
 }
 
-// target is what a live hall should hold of the tokens left.
-func target(in Input, h Hall, left int64) int64 {
-	if left <= 0 {
+// target returns how many of the available tokens a connected hall should hold.
+func target(in Input, h Hall, available int64) int64 {
+	if available <= 0 {
 		return 0
 	}
-	total, live := 0.0, 0
+	total, connected := 0.0, 0
 	for _, x := range in.Halls {
 		if x.Live {
 			total += x.Demand
-			live++
+			connected++
 		}
 	}
-	share := 1 / float64(live)
+	share := 1 / float64(connected)
 	if total > 0 {
-		share = share*equalPart/percent + h.Demand/total*(percent-equalPart)/percent
+		share = share*equalPercent/hundredPercent + h.Demand/total*(hundredPercent-equalPercent)/hundredPercent
 	}
-	bound := math.Max(h.Demand*horizon.Seconds(), floorTokens)
-	return int64(math.Min(float64(left)*allottedPart/percent*share, bound))
+	bound := math.Max(h.Demand*demandHorizon.Seconds(), minHorizonTokens)
+	return int64(math.Min(float64(available)*allottedPercent/hundredPercent*share, bound))
 }
 
-// Demand estimates the tokens that each hall reserves a second, as a moving
-// average.
-type Demand struct {
+// DemandTracker estimates the rate at which each hall reserves tokens, as an
+// exponential moving average.
+type DemandTracker struct {
 	mu    sync.Mutex // guards rates
 	rates map[demandKey]*rate
 }
@@ -112,14 +114,14 @@
 
 type rate struct {
 	perSecond float64
-	at        time.Time
+	updatedAt time.Time
 }
 
-// memory is the time constant of the average.
-const memory = 2 * time.Minute
+// demandTimeConstant is the time constant of the moving average.
+const demandTimeConstant = 2 * time.Minute
 
-// Note takes in one reservation.
-func (d *Demand) Note(budget, hall string, amount int64, now time.Time) {
+// Record adds one reservation to the estimate.
+func (d *DemandTracker) Record(budget, hall string, amount int64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.rates == nil {
@@ -128,19 +130,19 @@
 	k := demandKey{budget, hall}
 	r := d.rates[k]
 	if r == nil {
-		r = &rate{at: now}
+		r = &rate{updatedAt: now}
 		d.rates[k] = r
 	}
-	r.perSecond = r.decayed(now) + float64(amount)/memory.Seconds()
-	r.at = now
+	r.perSecond = r.decayed(now) + float64(amount)/demandTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
 func (r *rate) decayed(now time.Time) float64 {
-	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/memory.Seconds())
+	return r.perSecond * math.Exp(-now.Sub(r.updatedAt).Seconds()/demandTimeConstant.Seconds())
 }
 
-// Rate returns the estimate.
-func (d *Demand) Rate(budget, hall string, now time.Time) float64 {
+// Rate returns the estimated demand of a hall for a budget, in tokens per second.
+func (d *DemandTracker) Rate(budget, hall string, now time.Time) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r := d.rates[demandKey{budget, hall}]
--- a/internal/allot/policy.go
+++ b/internal/allot/policy.go
@@ -1,6 +1,6 @@
 package allot
 
-// Names of the policies.
+// The names of the policies.
 const (
 	PolicyDemand  = "demand"
 	PolicyEqual   = "equal"
@@ -8,82 +8,82 @@
 	PolicyLeases  = "leases"
 )
 
-// Policy sizes allotments.
+// Policy decides on the allotments of a budget.
 type Policy interface {
-	// Plan returns what to grant and recall now.
-	Plan(Input) []Step
-	// Recalls reports whether a budget that is short may call allotments back.
+	// Plan returns the grants and recalls to make now.
+	Plan(Input) []Adjustment
+	// Recalls reports whether allotments may be recalled when a budget is short.
 	Recalls() bool
 }
 
-// New returns a policy by name; the empty name means [Demand]'s. It returns nil
-// for an unknown one.
+// New returns the policy with the given name, PolicyDemand if it is empty, or nil
+// if the name is unknown.
 func New(name string) Policy {
 	switch name {
 	case "", PolicyDemand:
-		return byDemand{}
+		return demandPolicy{}
 	case PolicyEqual:
-		return equalSplit{}
+		return equalPolicy{}
 	case PolicyCentral:
-		return centralOnly{}
+		return centralPolicy{}
 	case PolicyLeases:
-		return leases{}
+		return leasePolicy{}
 	}
 	return nil
 }
 
-// byDemand is the policy in use.
-type byDemand struct{}
+// demandPolicy is the default policy.
+type demandPolicy struct{}
 
-func (byDemand) Plan(in Input) []Step { return Plan(in) }
-func (byDemand) Recalls() bool        { return true }
+func (demandPolicy) Plan(in Input) []Adjustment { return Plan(in) }
+func (demandPolicy) Recalls() bool              { return true }
 
-// equalSplit is a baseline: all that a budget has is split among the halls,
-// once, and stays where it is.
-type equalSplit struct{}
+// equalPolicy is a baseline that divides a whole budget equally among the halls
+// once and never recalls tokens.
+type equalPolicy struct{}
 
-func (equalSplit) Plan(in Input) []Step {
-	var steps []Step
+func (equalPolicy) Plan(in Input) []Adjustment {
+	var steps []Adjustment
 	for _, h := range in.Halls {
 		if n := in.Available / int64(len(in.Halls)); n > 0 {
-			steps = append(steps, Step{h.ID, n})
+			steps = append(steps, Adjustment{h.ID, n})
 		}
 	}
 	return steps
 }
 
-func (equalSplit) Recalls() bool { return false }
+func (equalPolicy) Recalls() bool { return false }
 
-// centralOnly is a baseline: halls hold nothing, so that one that is cut off
-// refuses.
-type centralOnly struct{}
+// centralPolicy is a baseline without allotments: a hall that is cut off refuses
+// all requests.
+type centralPolicy struct{}
 
-func (centralOnly) Plan(Input) []Step { return nil }
-func (centralOnly) Recalls() bool     { return false }
+func (centralPolicy) Plan(Input) []Adjustment { return nil }
+func (centralPolicy) Recalls() bool           { return false }
 
-// leases is a baseline: a hall that asks first gets a lease of a fixed size,
-// again whenever it has used most of it, and nothing is called back.
-type leases struct{}
+// leasePolicy is a baseline that gives a hall with demand a lease of fixed size,
+// renews it once the hall holds less than half of it, and never recalls tokens.
+type leasePolicy struct{}
 
-// leaseParts is how many leases an untouched budget is cut into.
-const leaseParts = 20
+// leasesPerBudget is the number of leases into which an unused budget is divided.
+const leasesPerBudget = 20
 
-func (leases) Plan(in Input) []Step {
+func (leasePolicy) Plan(in Input) []Adjustment {
 	total := in.Available
 	for _, h := range in.Halls {
 		total += h.Held
 	}
-	var steps []Step
+	var steps []Adjustment
 	left := in.Available
 	for _, h := range in.Halls {
-		size := max(total/leaseParts, 1)
+		size := max(total/leasesPerBudget, 1)
 		if h.Demand > 0 && h.Live && h.Held < size/2 && left > 0 {
 			n := min(size, left)
-			steps = append(steps, Step{h.ID, n})
+			steps = append(steps, Adjustment{h.ID, n})
 			left -= n
 		}
 	}
 	return steps
 }
 
-func (leases) Recalls() bool { return false }
+func (leasePolicy) Recalls() bool { return false }
--- a/internal/keeper/allotments.go
+++ b/internal/keeper/allotments.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// connectedJournals maps each hall whose journal's keeper is connected to the
-// incarnation of that keeper.
+// connectedJournals returns the incarnations of the keepers that hold a hall's
+// journal and are connected, by hall.
 func (k *Keeper) connectedJournals(ctx context.Context) map[string]string {
 	active, err := k.ledgerGroup.node.PeersActive(ctx)
 	if err != nil {
@@ -86,19 +86,19 @@
 
 // allotBudget runs the allotment policy for one budget: it carries out the
 // recalls and returns the grants.
-func (k *Keeper) allotBudget(b *wire.BudgetState, live map[string]string) []*wire.Grant {
+func (k *Keeper) allotBudget(b *wire.BudgetState, incarnations map[string]string) []*wire.Grant {
 	in := allot.Input{Available: b.GetTotal() - b.GetSpent() - b.GetReserved() - b.GetAllotted()}
 	held := make(map[string]*wire.Allotment)
 	for _, a := range b.GetAllotments() {
-		if a.GetKeeperIncarnation() == live[a.GetHall()] {
+		if a.GetKeeperIncarnation() == incarnations[a.GetHall()] {
 			held[a.GetHall()] = a
 		}
 	}
 	var grants []*wire.Grant
 	for _, h := range hallsWithKeepers(k.Config.Keepers) {
-		_, isLive := live[string(h)]
+		_, connected := incarnations[string(h)]
 		in.Halls = append(in.Halls, allot.Hall{
-			ID: h, Live: isLive, Held: held[string(h)].GetHeld(),
+			ID: h, Live: connected, Held: held[string(h)].GetHeld(),
 			Demand: k.demand.Rate(b.GetBudget(), string(h), time.Now()),
 		})
 	}
@@ -109,7 +109,7 @@
 			continue
 		}
 		grants = append(grants, &wire.Grant{
-			Budget: b.GetBudget(), Hall: hall, KeeperIncarnation: live[hall], Amount: step.Tokens, Partial: true,
+			Budget: b.GetBudget(), Hall: hall, KeeperIncarnation: incarnations[hall], Amount: step.Tokens, Partial: true,
 		})
 	}
 	return grants
--- a/internal/keeper/hallservice.go
+++ b/internal/keeper/hallservice.go
@@ -47,7 +47,7 @@
 	}
 	now := time.Now()
 	r.NowUnixNano = now.UnixNano()
-	k.demand.Note(r.GetBudget(), r.GetHall(), r.GetAmount(), now)
+	k.demand.Record(r.GetBudget(), r.GetHall(), r.GetAmount(), now)
 	if k.replyForLostJournal(r, reply, now) {
 		return nil
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -61,7 +61,7 @@
 	holdsJournal bool
 	allotPolicy  allot.Policy
 	journal      *journal.Journal
-	demand       *allot.Demand
+	demand       *allot.DemandTracker
 	recalls      *recallState
 	mergeMu      sync.Mutex // guards mergedSeq and serializes merges
 	mergedSeq    uint64
@@ -76,7 +76,7 @@
 	k.metrics = newMetrics(k)
 	k.nodes = newNodeTable()
 	k.clients = &keeperclient.Client{Keepers: k.Config.Keepers, Pool: k.Pool, Hall: k.Config.Hall}
-	k.demand, k.recalls = &allot.Demand{}, &recallState{}
+	k.demand, k.recalls = &allot.DemandTracker{}, &recallState{}
 	k.allotPolicy = allot.New(k.Config.Allotments)
 	if err := k.listen(probe); err != nil {
 		return err
--- a/internal/keeper/ledgerservice.go
+++ b/internal/keeper/ledgerservice.go
@@ -58,7 +58,7 @@
 	c := &wire.LedgerCommand{Command: &wire.LedgerCommand_Reserve{Reserve: r}}
 	err := k.proposeReply(c, reply)
 	if err == nil {
-		k.demand.Note(r.GetBudget(), r.GetHall(), r.GetAmount(), now)
+		k.demand.Record(r.GetBudget(), r.GetHall(), r.GetAmount(), now)
 	}
 	if err == nil && k.recallOnShortfall(r.GetBudget(), r.GetAmount(), "", reply) {
 		err = k.proposeReply(c, reply)
