--- a/internal/keeper/grants.go
+++ b/internal/keeper/grants.go
@@ -18,15 +18,15 @@
 // 200 requests although the budget held 100 times as much (scenario keeper_restarts with recalls
 // of everything a hall holds, in one of six runs). An error means that the caller should retry.
 func reserveWithGrants(reserve func() (*wire.LedgerReply, error), requestGrant func() (granted bool, err error), deadline time.Time) (*wire.LedgerReply, error) {
-	for more := true; ; {
+	for mayGrant := true; ; {
 		got, err := reserve()
-		if err != nil || !more || got.GetCode() != wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED {
+		if err != nil || !mayGrant || got.GetCode() != wire.LedgerCode_LEDGER_CODE_BUDGET_EXHAUSTED {
 			return got, err
 		}
-		if more, err = requestGrant(); err != nil {
+		if mayGrant, err = requestGrant(); err != nil {
 			return got, err
 		}
-		if more && time.Now().After(deadline) {
+		if mayGrant && time.Now().After(deadline) {
 			return got, keeperclient.EncodeError(&raft.NotLeaderError{})
 		}
 	}
--- a/internal/keeper/lostjournal.go
+++ b/internal/keeper/lostjournal.go
@@ -41,10 +41,10 @@
 }
 
 // ledgerEntry returns the ledger's entry of a key, from the local replica or,
-// if ask is set, from the leader, since the replica may still be catching up.
-func (k *Keeper) ledgerEntry(workspace, key string, ask bool) *wire.Entry {
+// if askLeader is set, from the leader, since the replica may still be catching up.
+func (k *Keeper) ledgerEntry(workspace, key string, askLeader bool) *wire.Entry {
 	e := k.ledger.Entry(sumachead.WorkspaceID(workspace), sumachead.RequestKey(key))
-	if e != nil || !ask {
+	if e != nil || !askLeader {
 		return e
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimMergeTimeout)
--- a/internal/keeper/settingsservice.go
+++ b/internal/keeper/settingsservice.go
@@ -133,11 +133,11 @@
 		// own lease from its call, so that one expires first.
 		k.nodes.recordLease(r, time.Now())
 	}
-	answer, err := k.settingsMachine.Sync(r)
+	changes, err := k.settingsMachine.Sync(r)
 	if err != nil {
 		return err
 	}
-	proto.Merge(reply, answer)
+	proto.Merge(reply, changes)
 	reply.Current = current
 	reply.Leader = k.settingsGroup.node.Status().GetLeader()
 	reply.CutOff = k.settingsGroup.leaderlessFor(time.Now()) >= cutOffReportDelay
@@ -163,11 +163,11 @@
 	if err := s.keeper.settingsGroup.readBarrier(); err != nil {
 		return err
 	}
-	answer, err := s.keeper.settingsMachine.Sync(&wire.SyncRequest{})
+	changes, err := s.keeper.settingsMachine.Sync(&wire.SyncRequest{})
 	if err != nil {
 		return err
 	}
-	proto.Merge(reply, answer)
+	proto.Merge(reply, changes)
 	return nil
 }
 
