--- a/internal/allot/allot.go
+++ b/internal/allot/allot.go
@@ -39,8 +39,8 @@
 type Hall struct {
 	ID sumachead.HallID
 	// Connected reports whether the keeper of the hall's journal is connected.
-	Live bool
-	Held int64
+	Connected bool
+	Held      int64
 	// Demand is the rate of reservations from the hall, in tokens per second.
 	Demand float64
 }
@@ -63,13 +63,13 @@
 func Plan(in Input) []Adjustment {
 	available := in.Available
 	for _, h := range in.Halls {
-		if h.Live {
+		if h.Connected {
 			available += max(h.Held, 0)
 		}
 	}
 	var steps []Adjustment
 	for _, h := range in.Halls {
-		if !h.Live {
+		if !h.Connected {
 			continue
 		}
 		target := target(in, h, available)
@@ -90,7 +90,7 @@
 	}
 	total, connected := 0.0, 0
 	for _, x := range in.Halls {
-		if x.Live {
+		if x.Connected {
 			total += x.Demand
 			connected++
 		}
--- a/internal/allot/allot_test.go
+++ b/internal/allot/allot_test.go
@@ -14,22 +14,22 @@
 	}{
 		{
 			"no demand: equal shares of 90 percent",
-			Input{Available: 1000, Halls: []Hall{{ID: "a", Live: true}, {ID: "b", Live: true}, {ID: "c", Live: true}}},
+			Input{Available: 1000, Halls: []Hall{{ID: "a", Connected: true}, {ID: "b", Connected: true}, {ID: "c", Connected: true}}},
 			[]Adjustment{{"a", 300}, {"b", 300}, {"c", 300}},
 		},
 		{
 			"half by demand, half equally",
-			Input{Available: 1000, Halls: []Hall{{ID: "a", Live: true, Demand: 9}, {ID: "b", Live: true, Demand: 1}}},
+			Input{Available: 1000, Halls: []Hall{{ID: "a", Connected: true, Demand: 9}, {ID: "b", Connected: true, Demand: 1}}},
 			[]Adjustment{{"a", 630}, {"b", 270}},
 		},
-		{"disconnected hall gets no grant or recall", Input{Available: 100, Halls: []Hall{{ID: "a", Live: true, Held: 300}, {ID: "b", Held: 1000}}}, nil},
+		{"disconnected hall gets no grant or recall", Input{Available: 100, Halls: []Hall{{ID: "a", Connected: true, Held: 300}, {ID: "b", Held: 1000}}}, nil},
 		{
 			"recall when the budget runs low",
-			Input{Available: 0, Halls: []Hall{{ID: "a", Live: true, Held: 100}, {ID: "b", Live: true, Held: 1}}},
+			Input{Available: 0, Halls: []Hall{{ID: "a", Connected: true, Held: 100}, {ID: "b", Connected: true, Held: 1}}},
 			[]Adjustment{{"a", -55}, {"b", 44}},
 		},
-		{"close to the target", Input{Available: 200, Halls: []Hall{{ID: "a", Live: true, Held: 400}, {ID: "b", Live: true, Held: 390}}}, nil},
-		{"bounded by the demand horizon", Input{Available: 100_000_000, Halls: []Hall{{ID: "a", Live: true, Demand: 100}}}, []Adjustment{{"a", 360_000}}},
+		{"close to the target", Input{Available: 200, Halls: []Hall{{ID: "a", Connected: true, Held: 400}, {ID: "b", Connected: true, Held: 390}}}, nil},
+		{"bounded by the demand horizon", Input{Available: 100_000_000, Halls: []Hall{{ID: "a", Connected: true, Demand: 100}}}, []Adjustment{{"a", 360_000}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/allot/experiment_test.go
+++ b/internal/allot/experiment_test.go
@@ -169,7 +169,7 @@
 				held = a.GetHeld()
 			}
 		}
-		in.Halls = append(in.Halls, Hall{ID: sumachead.HallID(h.id), Live: !h.cutOff, Held: held, Demand: w.demand.Rate("b", h.id, w.currentTime())})
+		in.Halls = append(in.Halls, Hall{ID: sumachead.HallID(h.id), Connected: !h.cutOff, Held: held, Demand: w.demand.Rate("b", h.id, w.currentTime())})
 	}
 	for _, st := range w.policy.Plan(in) {
 		h := w.hall(string(st.Hall))
--- a/internal/allot/policy.go
+++ b/internal/allot/policy.go
@@ -77,7 +77,7 @@
 	left := in.Available
 	for _, h := range in.Halls {
 		size := max(total/leasesPerBudget, 1)
-		if h.Demand > 0 && h.Live && h.Held < size/2 && left > 0 {
+		if h.Demand > 0 && h.Connected && h.Held < size/2 && left > 0 {
 			n := min(size, left)
 			steps = append(steps, Adjustment{h.ID, n})
 			left -= n
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -190,7 +190,7 @@
 func BenchmarkAllotments(b *testing.B) {
 	in := allot.Input{Available: 100_000}
 	for h := range halls {
-		in.Halls = append(in.Halls, allot.Hall{ID: sumachead.HallID(fmt.Sprint(h)), Live: true, Held: 150_000, Demand: 10})
+		in.Halls = append(in.Halls, allot.Hall{ID: sumachead.HallID(fmt.Sprint(h)), Connected: true, Held: 150_000, Demand: 10})
 	}
 	for range b.N {
 		for range budgets {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -352,7 +352,7 @@
 		r := &wire.FollowRequest{Node: "router-1", Role: RoleRouter, Locate: true, WaitMillis: 900}
 		for t.Context().Err() == nil {
 			_, err := rpc.Call[wire.FollowReply](t.Context(), pool.Get(c.addresses[0]), "Fleet.Follow", r)
-			if err == nil || keeperclient.Leader(err) != "" {
+			if err == nil || keeperclient.LeaderHint(err) != "" {
 				answered <- time.Now()
 				return
 			}
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		go func() {
-			leader := keeperclient.Leader(k.requestJoinFrom(ctx, a))
+			leader := keeperclient.LeaderHint(k.requestJoinFrom(ctx, a))
 			if leader != "" && leader != k.Address && !slices.Contains(addresses, leader) {
 				_ = k.requestJoinFrom(ctx, leader) // requestJoinFrom logs the error
 			}
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -230,7 +230,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	if leader := keeperclient.Leader(err); leader != "" && leader != w.Address {
+	if leader := keeperclient.LeaderHint(err); leader != "" && leader != w.Address {
 		c.replacePath(w, Path{w.Relay, leader})
 		return true
 	}
--- a/internal/fleetclient/search.go
+++ b/internal/fleetclient/search.go
@@ -150,7 +150,7 @@
 		return nil
 	}
 	reply, err := s.client.sendFollow(ctx, w, s.request)
-	if leader := keeperclient.Leader(err); leader != "" && leader != w.Address {
+	if leader := keeperclient.LeaderHint(err); leader != "" && leader != w.Address {
 		// The leader need not be one of the seeds.
 		w.Address = leader
 		if !s.claim(w) {
--- a/internal/keeper/allotments.go
+++ b/internal/keeper/allotments.go
@@ -98,7 +98,7 @@
 	for _, h := range hallsWithKeepers(k.Config.Keepers) {
 		_, connected := incarnations[string(h)]
 		in.Halls = append(in.Halls, allot.Hall{
-			ID: h, Live: connected, Held: held[string(h)].GetHeld(),
+			ID: h, Connected: connected, Held: held[string(h)].GetHeld(),
 			Demand: k.demand.Rate(b.GetBudget(), string(h), time.Now()),
 		})
 	}
--- a/internal/keeperclient/client.go
+++ b/internal/keeperclient/client.go
@@ -69,7 +69,7 @@
 }
 
 // LeaderHint returns the leader that a not-leader error names, or "".
-func Leader(err error) string {
+func LeaderHint(err error) string {
 	var nl *raft.NotLeaderError
 	if errors.As(decodeError(err), &nl) {
 		return nl.Leader
@@ -92,11 +92,11 @@
 
 // Call calls a method on the leader of a group, and retries until ctx is done.
 func Call[R any](ctx context.Context, c *Client, g sumachead.GroupID, method string, args proto.Message) (*R, error) {
-	return CallWithin[R](ctx, c, attemptTimeout, g, method, args)
+	return CallWithTimeout[R](ctx, c, attemptTimeout, g, method, args)
 }
 
 // CallWithTimeout is like Call, but with the given timeout for each attempt.
-func CallWithin[R any](ctx context.Context, c *Client, timeout time.Duration, g sumachead.GroupID, method string, args proto.Message) (*R, error) {
+func CallWithTimeout[R any](ctx context.Context, c *Client, timeout time.Duration, g sumachead.GroupID, method string, args proto.Message) (*R, error) {
 	for attempts := 1; ; attempts++ {
 		k := c.nextKeeper(g)
 		reply, err := callKeeperWithTimeout[R](ctx, c, timeout, k, method, args)
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	reply, err := rpc.Call[R](ctx, pool.Get(keeper), method, args)
-	if leader := keeperclient.Leader(err); leader != "" && leader != keeper {
+	if leader := keeperclient.LeaderHint(err); leader != "" && leader != keeper {
 		return rpc.Call[R](ctx, pool.Get(leader), method, args)
 	}
 	return reply, err
--- a/internal/tool/settings.go
+++ b/internal/tool/settings.go
@@ -48,7 +48,7 @@
 // the change is in force everywhere.
 func sendChange(ctx context.Context, c *keeperclient.Client, r *wire.ChangeRequest) (*wire.ChangeReply, error) {
 	const answerTimeout = 12 * time.Second
-	return keeperclient.CallWithin[wire.ChangeReply](ctx, c, answerTimeout, keeperclient.GroupSettings, "Settings.Change", r)
+	return keeperclient.CallWithTimeout[wire.ChangeReply](ctx, c, answerTimeout, keeperclient.GroupSettings, "Settings.Change", r)
 }
 
 func (a *app) outcome(r *wire.ChangeRequest, reply *wire.ChangeReply) error {
