--- a/internal/router/deliver.go
+++ b/internal/router/deliver.go
@@ -16,66 +16,68 @@
 )
 
 const (
-	// callTimeout bounds a call to an agent beyond the time that it is held.
-	callTimeout = 700 * time.Millisecond
-	readWait    = time.Second
-	// lostAfter is how long an agent may not answer before its request is
-	// given up.
-	lostAfter = 3 * time.Second
-	// startWithin is the same for taking a request in, where another server can
-	// run it as well.
-	startWithin = time.Second
-	// startSlack allows for clocks that differ between hosts.
-	startSlack = time.Second
-	retryPause = 50 * time.Millisecond
+	// callTimeout is the timeout of a call to an agent, on top of its long poll wait.
+	callTimeout  = 700 * time.Millisecond
+	longPollWait = time.Second
+	// unresponsiveTimeout is how long an agent may be unresponsive before its request
+	// fails.
+	unresponsiveTimeout = 3 * time.Second
+	// startTimeout is the same timeout while starting an idempotent request, which
+	// another server can run as well.
+	startTimeout = time.Second
+	// clockSkewAllowance allows for clock skew between hosts.
+	clockSkewAllowance = time.Second
+	callRetryDelay     = 50 * time.Millisecond
 )
 
-// start sends the attempt to its agent until that has taken it in or refused.
+// start sends the attempt to its agent until the agent accepts or refuses it.
 func (d *dispatch) start() *sumachead.Refusal {
-	giveUpAt := time.Now().Add(lostAfter)
-	if !d.x.notRepeatable {
-		giveUpAt = time.Now().Add(startWithin)
+	giveUpAt := time.Now().Add(unresponsiveTimeout)
+	if !d.x.nonIdempotent {
+		giveUpAt = time.Now().Add(startTimeout)
 	}
 	run := d.runRequest()
-	run.StartByUnixNano = giveUpAt.Add(startSlack).UnixNano()
+	run.StartByUnixNano = giveUpAt.Add(clockSkewAllowance).UnixNano()
 	sent := false
 	for {
 		reply, err := d.call(run)
 		if err == nil {
-			return d.started(reply, sent)
+			return d.handleRunReply(reply, sent)
 		}
 		if !errors.Is(err, rpc.ErrNotSent) {
 			sent = true
 		}
 		if !sent {
-			d.to.markDown()
-			return refuseSoon(sumachead.NotRun, sumachead.ReasonServerUnreached, "the agent was not reached")
+			d.target.markDown()
+			return refuseWithRetry(sumachead.NotRun, sumachead.ReasonServerUnreached, "the agent was not reached")
 		}
-		if f := d.pause(giveUpAt); f != nil {
+		if f := d.waitToRetry(giveUpAt); f != nil {
 			return f
 		}
 	}
 }
 
-func refuseSoon(v sumachead.Verdict, r sumachead.Reason, detail string) *sumachead.Refusal {
-	return sumachead.Refuse(v, r, detail, time.Now().Add(retrySoon))
+func refuseWithRetry(v sumachead.Verdict, r sumachead.Reason, detail string) *sumachead.Refusal {
+	return sumachead.Refuse(v, r, detail, time.Now().Add(shortRetryDelay))
 }
 
-// pause waits before a call is repeated; a refusal means that it is too late.
-func (d *dispatch) pause(giveUpAt time.Time) *sumachead.Refusal {
-	if !loop.Pause(d.ctx, nil, time.Now().Add(retryPause)) {
+// waitToRetry waits before a call is retried. It returns a refusal when the deadline
+// or giveUpAt has passed.
+func (d *dispatch) waitToRetry(giveUpAt time.Time) *sumachead.Refusal {
+	if !loop.Pause(d.ctx, nil, time.Now().Add(callRetryDelay)) {
 		return sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonDeadlinePassed, "the deadline passed while it ran", time.Time{})
 	}
 	if time.Now().After(giveUpAt) {
-		d.to.markDown()
-		return refuseSoon(sumachead.MayHaveRun, sumachead.ReasonInterrupted, "the agent stopped answering")
+		d.target.markDown()
+		return refuseWithRetry(sumachead.MayHaveRun, sumachead.ReasonInterrupted, "the agent stopped answering")
 	}
 	return nil
 }
 
-// started reads the agent's decision. The call may have been sent before.
-func (d *dispatch) started(reply *wire.RunReply, sentBefore bool) *sumachead.Refusal {
-	d.to.learn(reply.GetLoad())
+// handleRunReply handles the agent's reply to Run. sentBefore reports whether an
+// earlier call for the same attempt may have reached the agent.
+func (d *dispatch) handleRunReply(reply *wire.RunReply, sentBefore bool) *sumachead.Refusal {
+	d.target.recordLoad(reply.GetLoad())
 	switch reply.GetCode() {
 	case wire.RunCode_RUN_CODE_ACCEPTED:
 		return nil
@@ -87,31 +89,31 @@
 	case wire.RunCode_RUN_CODE_WRONG_BOOT:
 		d.restarted = true
 		if !sentBefore {
-			return refuseSoon(sumachead.NotRun, sumachead.ReasonServerUnreached, "the agent has restarted")
+			return refuseWithRetry(sumachead.NotRun, sumachead.ReasonServerUnreached, "the agent has restarted")
 		}
 	}
-	return refuseSoon(sumachead.MayHaveRun, sumachead.ReasonInterrupted, "the agent restarted while it ran")
+	return refuseWithRetry(sumachead.MayHaveRun, sumachead.ReasonInterrupted, "the agent restarted while it ran")
 }
 
 func (d *dispatch) runRequest() *wire.RunRequest {
 	x := d.x
 	return &wire.RunRequest{
 		Workspace: d.entry.GetWorkspace(), Key: d.entry.GetKey(), Attempt: d.entry.GetAttempt().GetNumber(),
-		Server: string(d.to.server), Boot: d.to.boot,
-		Body: x.work.body, ContentType: x.work.contentType, Method: x.work.method, Path: x.work.path,
-		Query: x.work.query, Stream: x.work.stream, Assemble: x.work.assemble, NotRepeatable: x.notRepeatable,
+		Server: string(d.target.server), Boot: d.target.boot,
+		Body: x.backend.body, ContentType: x.backend.contentType, Method: x.backend.method, Path: x.backend.path,
+		Query: x.backend.query, Stream: x.backend.stream, Assemble: x.backend.assemble, NotRepeatable: x.nonIdempotent,
 		Priority: uint32(x.priority), DeadlineUnixNano: x.deadline.UnixNano(),
-		Hall: d.entry.GetHall(), Reserved: int64(x.work.bound), Epoch: uint64(d.to.epoch), FlatCost: int64(x.work.flatCost),
+		Hall: d.entry.GetHall(), Reserved: int64(x.backend.maxCost), Epoch: uint64(d.target.epoch), FlatCost: int64(x.backend.flatCost),
 	}
 }
 
 func (d *dispatch) call(r *wire.RunRequest) (*wire.RunReply, error) {
 	ctx, cancel := context.WithTimeout(d.ctx, callTimeout)
 	defer cancel()
-	return rpc.Call[wire.RunReply](ctx, d.to.client, "Agent.Run", r)
+	return rpc.Call[wire.RunReply](ctx, d.target.client, "Agent.Run", r)
 }
 
-// attach asks the agent for a request without starting it.
+// attach asks the agent whether it knows the request, without starting it.
 func (d *dispatch) attach() (wire.RunCode, error) {
 	r := d.runRequest()
 	r.Attach, r.Body = true, nil
@@ -119,26 +121,26 @@
 	return reply.GetCode(), err
 }
 
-// deliver brings the answer from the agent to the caller. It goes on at the
-// same offset after a lost connection.
+// deliver copies the response from the agent to the caller. After a lost
+// connection it continues at the same offset.
 func (d *dispatch) deliver() *sumachead.Refusal {
-	d.to.open()
-	defer d.to.close()
-	s := &sink{x: d.x, digest: xxhash.New()}
-	giveUpAt := time.Now().Add(lostAfter)
+	d.target.addInFlight()
+	defer d.target.removeInFlight()
+	s := &responseSink{x: d.x, digest: xxhash.New()}
+	giveUpAt := time.Now().Add(unresponsiveTimeout)
 	for {
 		reply, err := d.read(s.offset)
 		if err != nil {
-			if f := d.pause(giveUpAt); f != nil {
+			if f := d.waitToRetry(giveUpAt); f != nil {
 				return f
 			}
 			continue
 		}
-		giveUpAt = time.Now().Add(lostAfter)
-		if f := d.took(reply); f != nil {
+		giveUpAt = time.Now().Add(unresponsiveTimeout)
+		if f := d.checkReadReply(reply); f != nil {
 			return f
 		}
-		if err := s.take(reply); err != nil {
+		if err := s.append(reply); err != nil {
 			return sumachead.AsRefusal(err)
 		}
 		if reply.GetEnd() != nil {
@@ -148,47 +150,47 @@
 }
 
 func (d *dispatch) read(offset int64) (*wire.ReadReply, error) {
-	ctx, cancel := context.WithTimeout(d.ctx, readWait+callTimeout)
+	ctx, cancel := context.WithTimeout(d.ctx, longPollWait+callTimeout)
 	defer cancel()
-	return rpc.Call[wire.ReadReply](ctx, d.to.client, "Agent.Read", &wire.ReadRequest{
-		Workspace: d.entry.GetWorkspace(), Key: d.entry.GetKey(), Boot: d.to.boot,
-		Offset: offset, WaitMillis: readWait.Milliseconds(),
+	return rpc.Call[wire.ReadReply](ctx, d.target.client, "Agent.Read", &wire.ReadRequest{
+		Workspace: d.entry.GetWorkspace(), Key: d.entry.GetKey(), Boot: d.target.boot,
+		Offset: offset, WaitMillis: longPollWait.Milliseconds(),
 	})
 }
 
-// took checks that a reply is of the run that is being read.
-func (d *dispatch) took(reply *wire.ReadReply) *sumachead.Refusal {
+// checkReadReply checks that a reply belongs to the run being read.
+func (d *dispatch) checkReadReply(reply *wire.ReadReply) *sumachead.Refusal {
 	switch reply.GetCode() {
 	case wire.RunCode_RUN_CODE_ACCEPTED:
-		d.to.learn(reply.GetLoad())
+		d.target.recordLoad(reply.GetLoad())
 		return nil
 	case wire.RunCode_RUN_CODE_GONE:
 		return sumachead.Refuse(sumachead.Ran, sumachead.ReasonAnswerGone, "the request ran; its answer is gone", time.Time{})
 	}
-	d.to.markDown()
-	return refuseSoon(sumachead.MayHaveRun, sumachead.ReasonInterrupted, "the agent restarted while it ran")
+	d.target.markDown()
+	return refuseWithRetry(sumachead.MayHaveRun, sumachead.ReasonInterrupted, "the agent restarted while it ran")
 }
 
-// finish settles a whole answer, or tells why it is not whole.
-func (d *dispatch) finish(s *sink, end *wire.AnswerEnd) *sumachead.Refusal {
+// finish settles a complete response, or returns why it is incomplete.
+func (d *dispatch) finish(s *responseSink, end *wire.AnswerEnd) *sumachead.Refusal {
 	if end.GetReason() != "" {
 		d.used = end.GetTokens()
 		retryAt := time.Now().Add(time.Duration(end.GetRetryAfterMillis()) * time.Millisecond)
 		return sumachead.Refuse(sumachead.Verdict(end.GetVerdict()), sumachead.Reason(end.GetReason()), "the backend server's answer is not whole", retryAt)
 	}
 	if end.GetLength() != s.offset || end.GetChecksum() != s.digest.Sum64() {
-		return refuseSoon(sumachead.Ran, sumachead.ReasonBadAnswer, "the answer was damaged on its way")
+		return refuseWithRetry(sumachead.Ran, sumachead.ReasonBadAnswer, "the answer was damaged on its way")
 	}
-	d.settle(&wire.SettleRequest{Tokens: end.GetTokens()})
+	d.reportOutcome(&wire.SettleRequest{Tokens: end.GetTokens()})
 	if err := s.close(); err != nil {
 		return sumachead.AsRefusal(err)
 	}
 	return nil
 }
 
-// sink takes an answer's bytes in. A stream goes to the caller as it comes;
-// any other answer only when it is whole.
-type sink struct {
+// responseSink receives the bytes of a response. It forwards a stream as it arrives and
+// buffers any other response until it is complete.
+type responseSink struct {
 	x      *exchange
 	head   *wire.AnswerHead
 	digest *xxhash.Digest
@@ -196,10 +198,10 @@
 	buffer []byte
 }
 
-// take adds one reply's bytes.
-func (s *sink) take(reply *wire.ReadReply) error {
+// append appends the bytes of one reply.
+func (s *responseSink) append(reply *wire.ReadReply) error {
 	if reply.GetOffset() != s.offset {
-		return refuseSoon(sumachead.MayHaveRun, sumachead.ReasonBadAnswer, "the agent answered out of order")
+		return refuseWithRetry(sumachead.MayHaveRun, sumachead.ReasonBadAnswer, "the agent answered out of order")
 	}
 	if reply.GetHead() != nil {
 		s.head = reply.GetHead()
@@ -210,23 +212,23 @@
 	}
 	s.offset += int64(len(data))
 	_, _ = s.digest.Write(data)
-	if !s.x.work.stream || s.head.GetStatus() != http.StatusOK {
+	if !s.x.backend.stream || s.head.GetStatus() != http.StatusOK {
 		s.buffer = append(s.buffer, data...)
 		return nil
 	}
-	s.sendHead()
+	s.sendHeader()
 	if _, err := s.x.w.Write(data); err != nil {
-		return refuseSoon(sumachead.MayHaveRun, sumachead.ReasonInterrupted, "the caller has gone")
+		return refuseWithRetry(sumachead.MayHaveRun, sumachead.ReasonInterrupted, "the caller has gone")
 	}
 	_ = http.NewResponseController(s.x.w).Flush()
 	return nil
 }
 
-func (s *sink) sendHead() {
-	if s.x.answered {
+func (s *responseSink) sendHeader() {
+	if s.x.headerSent {
 		return
 	}
-	s.x.answered = true
+	s.x.headerSent = true
 	h := s.x.w.Header()
 	if t := s.head.GetContentType(); t != "" {
 		h.Set("Content-Type", t)
@@ -235,18 +237,18 @@
 	s.x.w.WriteHeader(int(s.head.GetStatus()))
 }
 
-// close sends an answer that was held back until it was whole.
-func (s *sink) close() error {
-	if s.x.answered {
+// close sends a buffered response.
+func (s *responseSink) close() error {
+	if s.x.headerSent {
 		return nil
 	}
 	if s.head == nil {
-		return refuseSoon(sumachead.Ran, sumachead.ReasonBadAnswer, "the answer has no head")
+		return refuseWithRetry(sumachead.Ran, sumachead.ReasonBadAnswer, "the answer has no head")
 	}
 	s.x.w.Header().Set("Content-Length", strconv.Itoa(len(s.buffer)))
-	s.sendHead()
+	s.sendHeader()
 	if _, err := s.x.w.Write(s.buffer); err != nil {
-		return refuseSoon(sumachead.Ran, sumachead.ReasonInterrupted, "the caller has gone")
+		return refuseWithRetry(sumachead.Ran, sumachead.ReasonInterrupted, "the caller has gone")
 	}
 	return nil
 }
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -9,53 +9,54 @@
 	"sumachead/api/wire"
 )
 
-// dispatch is one request's way from its reservation to its answer.
+// dispatch is the state of one request from its reservation to its response.
 type dispatch struct {
 	*Router
-	x     *exchange
-	ctx   context.Context
-	entry *wire.Entry
-	to    *target
-	tried []sumachead.ServerID
-	// mayHaveRun: an attempt before this one may have run.
+	x      *exchange
+	ctx    context.Context
+	entry  *wire.Entry
+	target *target
+	tried  []sumachead.ServerID
+	// mayHaveRun is set when an earlier attempt may have run.
 	mayHaveRun bool
-	// restarted: the agent of the last attempt turned out to be a new process,
-	// which may be tried as well.
+	// restarted is set when the agent of the last attempt has restarted. The new
+	// process may be tried again.
 	restarted bool
-	// refusedAt is when an agent first refused that had no settings proved current.
+	// refusedAt is when an agent first refused because of stale settings.
 	refusedAt time.Time
-	// used is what the attempt that has just failed is known to have used.
+	// used is the number of tokens that the failed attempt is known to have used.
 	used int64
 }
 
-// dispatch reserves, places and runs a request, and brings its answer. It is
-// the end of the filter chain.
+// dispatch reserves tokens for a request, places it, runs it and delivers its
+// response. It is the last handler of the filter chain.
 func (r *Router) dispatch(x *exchange) error {
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
 	if !r.follower.MayServe(x.pool) {
-		return x.unsure(refuseSoon(sumachead.NotRun, sumachead.ReasonSettingsStale, "the settings are not proved current"))
+		return x.widenForCallerKey(refuseWithRetry(sumachead.NotRun, sumachead.ReasonSettingsStale, "the settings are not proved current"))
 	}
-	r.retries.noteRequest(x.workspace)
+	r.retryBudgets.recordRequest(x.workspace)
 	d := &dispatch{Router: r, x: x, ctx: ctx}
-	if err := d.awaitServer(); err != nil {
-		return x.unsure(sumachead.AsRefusal(err))
+	if err := d.waitForServer(); err != nil {
+		return x.widenForCallerKey(sumachead.AsRefusal(err))
 	}
 	return d.reserve()
 }
 
-// place chooses where the next attempt goes.
+// place chooses the target of the next attempt.
 func (d *dispatch) place() error {
-	t, err := d.choose(d.ctx, d.x, d.tried)
+	t, err := d.chooseTarget(d.ctx, d.x, d.tried)
 	if err != nil {
 		return err
 	}
-	d.to = t
+	d.target = t
 	return nil
 }
 
-// final widens a refusal's verdict by what earlier attempts may have done.
-func (d *dispatch) final(f *sumachead.Refusal) *sumachead.Refusal {
+// widenForAttempts changes the verdict of a refusal from NotRun to MayHaveRun if an
+// earlier attempt may have run.
+func (d *dispatch) widenForAttempts(f *sumachead.Refusal) *sumachead.Refusal {
 	if d.mayHaveRun && f.Verdict == sumachead.NotRun {
 		g := *f
 		g.Verdict = sumachead.MayHaveRun
@@ -64,8 +65,8 @@
 	return f
 }
 
-// run makes attempts until one brings the whole answer or no other may be
-// made.
+// run makes attempts until one delivers a complete response or no retry is
+// allowed.
 func (d *dispatch) run() error {
 	for {
 		d.x.attempts++
@@ -75,16 +76,17 @@
 			return nil
 		}
 		if !d.mayRetry(f) {
-			return d.giveUp(f)
+			return d.fail(f)
 		}
 		d.metrics.retries.WithLabelValues(string(f.Reason)).Inc()
-		if err := d.moveOn(f); err != nil {
+		if err := d.reassignToNext(f); err != nil {
 			return err
 		}
 	}
 }
 
-// runOnce makes one attempt; nil means that the caller has the whole answer.
+// runOnce makes one attempt. It returns nil once the caller has the complete
+// response.
 func (d *dispatch) runOnce() *sumachead.Refusal {
 	d.used = 0
 	if f := d.start(); f != nil {
@@ -99,65 +101,65 @@
 	case sumachead.ReasonDeadlinePassed, sumachead.ReasonBadRequest, sumachead.ReasonRunning, sumachead.ReasonAnswerGone:
 		return false
 	}
-	if d.x.answered || d.ctx.Err() != nil || f.Verdict == sumachead.Ran {
+	if d.x.headerSent || d.ctx.Err() != nil || f.Verdict == sumachead.Ran {
 		return false
 	}
-	if d.x.notRepeatable && (f.Verdict != sumachead.NotRun || d.mayHaveRun) {
+	if d.x.nonIdempotent && (f.Verdict != sumachead.NotRun || d.mayHaveRun) {
 		return false
 	}
-	return d.retries.take(d.x.workspace)
+	return d.retryBudgets.tryTake(d.x.workspace)
 }
 
-// giveUp ends the request without an answer.
-func (d *dispatch) giveUp(f *sumachead.Refusal) error {
-	f = d.final(f)
+// fail fails the request.
+func (d *dispatch) fail(f *sumachead.Refusal) error {
+	f = d.widenForAttempts(f)
 	if d.ctx.Err() != nil && d.x.r.Context().Err() != nil {
-		return f // the caller is gone; the agent finishes and settles
+		return f // the caller disconnected; the agent finishes and settles
 	}
 	// An attempt that may have run keeps its entry: its agent settles it, or
-	// the next request with the key takes it on.
+	// the next request with the key continues it.
 	if f.Verdict == sumachead.NotRun {
-		d.settle(&wire.SettleRequest{NotRun: true})
+		d.reportOutcome(&wire.SettleRequest{NotRun: true})
 	}
 	return f
 }
 
-// moveOn takes the entry to another server after a failed attempt.
-func (d *dispatch) moveOn(f *sumachead.Refusal) error {
+// reassignToNext reassigns the entry to another server after a failed attempt.
+func (d *dispatch) reassignToNext(f *sumachead.Refusal) error {
 	if f.Verdict != sumachead.NotRun {
 		d.mayHaveRun = true
 	}
 	if !d.restarted {
-		d.tried = append(d.tried, d.to.server)
+		d.tried = append(d.tried, d.target.server)
 	}
 	d.restarted = false
 	if f.Reason == sumachead.ReasonSettingsStale && d.refusedAt.IsZero() {
 		d.refusedAt = time.Now()
 	}
 	next := d.place
-	if mayAwait(f) {
-		next = d.awaitServer
+	if mayWaitForServer(f) {
+		next = d.waitForServer
 	}
 	if err := next(); err != nil {
-		// No other server is left: the refusal that led here says more.
-		return d.giveUp(f)
+		// No other server is left. The refusal of the attempt is more specific.
+		return d.fail(f)
 	}
 	return d.reassign(f.Verdict == sumachead.NotRun)
 }
 
 // join serves a request whose key the ledger knows: from the agent that runs
-// or ran it, or by taking it on where its router has died.
+// or ran it, or by taking over from a router that crashed.
 func (d *dispatch) join() error {
-	t, err := d.link(d.entry.GetAttempt(), d.x.view)
+	t, err := d.targetOf(d.entry.GetAttempt(), d.x.view)
 	if err != nil {
-		return d.orphan()
+		return d.takeOver()
 	}
-	d.to = t
+	d.target = t
 	code, err := d.attach()
 	settled := d.entry.GetState() == wire.EntryState_ENTRY_STATE_SETTLED
 	switch {
 	case err != nil || code == wire.RunCode_RUN_CODE_WRONG_BOOT:
-		return d.orphan()
+		return d.takeOver()
 	case code == wire.RunCode_RUN_CODE_ACCEPTED:
 		f := d.deliver()
 		if f == nil {
@@ -167,33 +169,34 @@
 			return f
 		}
 		d.metrics.retries.WithLabelValues(string(f.Reason)).Inc()
-		if err := d.moveOn(f); err != nil {
+		if err := d.reassignToNext(f); err != nil {
 			return err
 		}
 		return d.run()
 	case settled:
-		return answerGone(time.Time{})
+		return responseGone(time.Time{})
 	}
-	// The agent lives and has never seen the key: its router died, or is about
-	// to dispatch. This router takes the attempt on, at the same process.
+	// The agent is running and has never seen the key: the router of the attempt
+	// crashed or is about to dispatch. This router takes the attempt over, at the
+	// same agent process.
 	if err := d.reassign(false); err != nil {
 		return err
 	}
 	return d.run()
 }
 
-func answerGone(retryAt time.Time) error {
+func responseGone(retryAt time.Time) error {
 	return sumachead.Refuse(sumachead.Ran, sumachead.ReasonAnswerGone, "the request ran; its answer is not to be had", retryAt)
 }
 
-// orphan deals with an entry whose agent does not answer, or is a new process.
-func (d *dispatch) orphan() error {
+// takeOver takes over an entry whose agent is unreachable or has restarted.
+func (d *dispatch) takeOver() error {
 	if d.entry.GetState() == wire.EntryState_ENTRY_STATE_SETTLED {
-		return answerGone(time.Now().Add(retrySoon))
+		return responseGone(time.Now().Add(shortRetryDelay))
 	}
 	if d.entry.GetNotRepeatable() {
 		return sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonServerUnreached,
-			"the process that may have run it does not answer", time.Now().Add(retrySoon))
+			"the process that may have run it does not answer", time.Now().Add(shortRetryDelay))
 	}
 	d.mayHaveRun = true
 	d.tried = append(d.tried, sumachead.ServerID(d.entry.GetAttempt().GetServer()))
@@ -203,7 +206,7 @@
 		err = d.place()
 	}
 	if err != nil {
-		return d.final(sumachead.AsRefusal(err))
+		return d.widenForAttempts(sumachead.AsRefusal(err))
 	}
 	if err := d.reassign(false); err != nil {
 		return err
--- a/internal/router/errors.go
+++ b/internal/router/errors.go
@@ -9,7 +9,7 @@
 	"sumachead/internal/strictjson"
 )
 
-// errorBody is the one form in which callers see a refusal.
+// errorBody is the JSON body of every refusal.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -23,14 +23,15 @@
 	RetryAt   *time.Time        `json:"retry_at,omitempty"`
 }
 
-// errorFilter answers the caller when the chain could not, and counts.
+// errorFilter sends the refusal when the rest of the chain returns an error, and
+// counts responses.
 func (r *Router) errorFilter(next handler) handler {
 	return func(x *exchange) error {
 		began := time.Now()
 		err := next(x)
 		r.metrics.duration.Observe(time.Since(began).Seconds())
 		if err == nil {
-			r.metrics.answers.Inc()
+			r.metrics.responses.Inc()
 			return nil
 		}
 		r.refuse(x, sumachead.AsRefusal(err))
@@ -38,8 +39,8 @@
 	}
 }
 
-// refuse sends a refusal at once. When part of the answer is out, a last event
-// says that the answer is incomplete, and the connection is broken off.
+// refuse sends a refusal. If part of the response has been sent already, a
+// final event of the stream reports the error and the connection is aborted.
 func (r *Router) refuse(x *exchange, f *sumachead.Refusal) {
 	r.metrics.refusals.WithLabelValues(string(f.Reason), string(f.Verdict)).Inc()
 	r.Log.Debug("Request refused.", "id", x.id, "reason", f.Reason, "verdict", f.Verdict, "detail", f.Detail)
@@ -47,8 +48,8 @@
 	if err != nil {
 		body = []byte(`{}`)
 	}
-	if x.answered {
-		x.breakOff(body)
+	if x.headerSent {
+		x.abort(body)
 		return
 	}
 	h := x.w.Header()
@@ -69,17 +70,18 @@
 	return errorBody{d}
 }
 
-// retryAfterSeconds rounds up: the header has whole seconds.
+// retryAfterSeconds returns the value of a Retry-After header, rounded up to
+// whole seconds.
 func retryAfterSeconds(at time.Time) string {
 	s := int64((time.Until(at) + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(s, 1), 10)
 }
 
-// breakOff ends an answer that has begun.
-func (x *exchange) breakOff(body []byte) {
-	if x.work.stream {
+// abort aborts a response that has begun.
+func (x *exchange) abort(body []byte) {
+	if x.backend.stream {
 		_, _ = x.w.Write([]byte("event: error\ndata: " + string(body) + "\n\n"))
 		_ = http.NewResponseController(x.w).Flush()
 	}
-	panic(http.ErrAbortHandler) // the caller sees a broken transfer, not an end
+	panic(http.ErrAbortHandler) // the caller must see an aborted transfer, not a regular end
 }
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -9,7 +9,7 @@
 	"sumachead/internal/settings"
 )
 
-// Headers of callers' requests and of answers.
+// Headers of callers' requests and of responses.
 const (
 	HeaderKey           = "Idempotency-Key"
 	HeaderDeadline      = "Sumachead-Deadline"
@@ -19,8 +19,8 @@
 	HeaderAttempts      = "Sumachead-Attempts"
 )
 
-// exchange is one caller's request on its way through the filters. Each filter
-// fills in its part.
+// exchange holds one caller's request as it passes through the filters. Each
+// filter fills in its fields.
 type exchange struct {
 	w         http.ResponseWriter
 	r         *http.Request
@@ -29,42 +29,44 @@
 	workspace *settings.ResolvedWorkspace
 	pool      *settings.ResolvedPool
 	body      []byte
-	work      work
+	backend   backendRequest
 
 	key sumachead.RequestKey
-	// callersKey: the caller chose the key, and may have sent it before.
-	callersKey    bool
-	deadline      time.Time
-	priority      sumachead.Priority
-	notRepeatable bool
+	// callerChoseKey is set when the caller chose the key. An earlier request may
+	// have used the same key.
+	callerChoseKey bool
+	deadline       time.Time
+	priority       sumachead.Priority
+	nonIdempotent  bool
 
-	// answered: the head of the answer has been sent to the caller.
-	answered bool
-	attempts int
+	// headerSent is set once the response header has been sent to the caller.
+	headerSent bool
+	attempts   int
 }
 
-// work is what is to be run, as the backend server will see it.
-type work struct {
+// backendRequest is the request to be sent to the backend server.
+type backendRequest struct {
 	method      string
 	path        string
 	query       string
 	contentType string
 	body        []byte
 	stream      bool
-	// assemble: the backend server streams, the caller gets one whole.
+	// assemble is set when the backend server streams but the caller gets the
+	// response in one piece.
 	assemble bool
-	// bound is the most that it can cost.
-	bound sumachead.Tokens
-	// flatCost is what a plain service's call costs.
+	// maxCost is the upper bound of the cost.
+	maxCost sumachead.Tokens
+	// flatCost is the cost of a call to a plain service.
 	flatCost sumachead.Tokens
-	// prefix hashes the prompt's start; 0 when there is none.
-	prefix uint64
+	// prefixHash is the hash of the start of the prompt; 0 without a prompt.
+	prefixHash uint64
 }
 
-// handler deals with an exchange.
+// handler handles an exchange.
 type handler = chain.Handler[*exchange]
 
-// notRun is a refusal before anything was dispatched.
+// notRun returns a refusal of a request that was not dispatched.
 func notRun(reason sumachead.Reason, detail string, retryAt time.Time) error {
 	return refuseNotRun(reason, detail, retryAt)
 }
@@ -73,10 +75,11 @@
 	return sumachead.Refuse(sumachead.NotRun, reason, detail, retryAt)
 }
 
-// unsure widens a refusal that was made without a look at the ledger: when the
-// caller chose the key, an earlier copy of the request may have run.
-func (x *exchange) unsure(f *sumachead.Refusal) *sumachead.Refusal {
-	if !x.callersKey || f.Verdict != sumachead.NotRun {
+// widenForCallerKey changes the verdict of a refusal that was made without consulting the
+// ledger from NotRun to MayHaveRun if the caller chose the key: an earlier
+// request with the key may have run.
+func (x *exchange) widenForCallerKey(f *sumachead.Refusal) *sumachead.Refusal {
+	if !x.callerChoseKey || f.Verdict != sumachead.NotRun {
 		return f
 	}
 	g := *f
--- a/internal/router/filters.go
+++ b/internal/router/filters.go
@@ -15,12 +15,14 @@
 	"sumachead/internal/keeperclient"
 )
 
-// retrySoon is when to come back after a refusal that should pass quickly.
-const retrySoon = time.Second
+// shortRetryDelay is the retry delay after a refusal for a condition that should pass
+// quickly.
+const shortRetryDelay = time.Second
 
 func formatUint(n uint64, base int) string { return strconv.FormatUint(n, base) }
 
-// requestIDFilter names the request, and its key where the caller has not.
+// requestIDFilter sets the request ID, and generates a key if the caller sent
+// none.
 func (r *Router) requestIDFilter(next handler) handler {
 	const maxKeyLength = 256
 	return func(x *exchange) error {
@@ -30,11 +32,11 @@
 			x.key = ""
 			return notRun(sumachead.ReasonBadRequest, HeaderKey+" is longer than 256 bytes", time.Time{})
 		}
-		x.callersKey = x.key != ""
+		x.callerChoseKey = x.key != ""
 		x.w.Header().Set(HeaderRequestID, x.id)
 		x.setKey(x.key)
-		if !x.callersKey {
-			x.setKey(r.drawKey(x.r.Header.Get(HeaderNotRepeatable) == "true"))
+		if !x.callerChoseKey {
+			x.setKey(r.randomKey(x.r.Header.Get(HeaderNotRepeatable) == "true"))
 		}
 		return next(x)
 	}
@@ -45,29 +47,29 @@
 	x.w.Header().Set(HeaderKey, string(k))
 }
 
-// drawKey returns a new key. One for a request that is not repeatable belongs
-// to this hall, so that it can be claimed here also while the hall is cut off.
-func (r *Router) drawKey(notRepeatable bool) sumachead.RequestKey {
-	if notRepeatable {
+// randomKey returns a random key. The key of a non-idempotent request belongs to
+// this hall, so that it can be claimed here even while the hall is cut off.
+func (r *Router) randomKey(nonIdempotent bool) sumachead.RequestKey {
+	if nonIdempotent {
 		return sumachead.RequestKey(keeperclient.HallKey(r.Config.Hall, uuid.NewString()))
 	}
 	return sumachead.RequestKey(uuid.NewString())
 }
 
-// settingsFilter fixes the settings that the request is dealt with under. Under
-// settings that may be old nothing is refused for good: a workspace that they
-// lack may exist.
+// settingsFilter sets the settings view of the request. It refuses the request
+// with a retry time while the settings may be stale: a workspace that is missing
+// from stale settings may exist.
 func (r *Router) settingsFilter(next handler) handler {
 	return func(x *exchange) error {
 		x.view = r.follower.View()
 		if x.view == nil || !r.follower.MayServeAny() {
-			return x.unsure(refuseSoon(sumachead.NotRun, sumachead.ReasonSettingsStale, "the settings are not proved current"))
+			return x.widenForCallerKey(refuseWithRetry(sumachead.NotRun, sumachead.ReasonSettingsStale, "the settings are not proved current"))
 		}
 		return next(x)
 	}
 }
 
-// authFilter finds the workspace by its bearer key.
+// authFilter finds the workspace by the bearer key of the request.
 func (r *Router) authFilter(next handler) handler {
 	return func(x *exchange) error {
 		key, ok := strings.CutPrefix(x.r.Header.Get("Authorization"), "Bearer ")
@@ -81,7 +83,7 @@
 	}
 }
 
-// sizeFilter reads the body within the workspace's limit.
+// sizeFilter reads the body, up to the workspace's limit.
 func (r *Router) sizeFilter(next handler) handler {
 	return func(x *exchange) error {
 		limit := x.workspace.Limits.MaxBodyBytes
@@ -98,7 +100,8 @@
 	}
 }
 
-// deadlineFilter reads the headers that say how and until when to run.
+// deadlineFilter parses the headers for the deadline, priority and idempotency
+// of the request.
 func (r *Router) deadlineFilter(next handler) handler {
 	return func(x *exchange) error {
 		now := time.Now()
@@ -109,7 +112,7 @@
 				return notRun(sumachead.ReasonBadRequest, HeaderDeadline+" is not an RFC 3339 time", time.Time{})
 			}
 			if !t.After(now) {
-				return x.unsure(refuseNotRun(sumachead.ReasonDeadlinePassed, "the deadline has passed", time.Time{}))
+				return x.widenForCallerKey(refuseNotRun(sumachead.ReasonDeadlinePassed, "the deadline has passed", time.Time{}))
 			}
 			if t.Before(x.deadline) {
 				x.deadline = t
@@ -122,7 +125,7 @@
 		switch h := x.r.Header.Get(HeaderNotRepeatable); h {
 		case "", "false":
 		case "true":
-			x.notRepeatable = true
+			x.nonIdempotent = true
 		default:
 			return notRun(sumachead.ReasonBadRequest, HeaderNotRepeatable+" is neither true nor false", time.Time{})
 		}
@@ -130,41 +133,41 @@
 	}
 }
 
-// concurrency counts the open requests of each workspace.
+// concurrency counts the requests in flight of each workspace.
 type concurrency struct {
-	mu   sync.Mutex // guards open
-	open map[sumachead.WorkspaceID]int64
+	mu       sync.Mutex // guards inFlight
+	inFlight map[sumachead.WorkspaceID]int64
 }
 
-func (c *concurrency) enter(w sumachead.WorkspaceID, most int64) bool {
+func (c *concurrency) acquire(w sumachead.WorkspaceID, limit int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == nil {
-		c.open = make(map[sumachead.WorkspaceID]int64)
+	if c.inFlight == nil {
+		c.inFlight = make(map[sumachead.WorkspaceID]int64)
 	}
-	if c.open[w] >= most {
+	if c.inFlight[w] >= limit {
 		return false
 	}
-	c.open[w]++
+	c.inFlight[w]++
 	return true
 }
 
-func (c *concurrency) leave(w sumachead.WorkspaceID) {
+func (c *concurrency) release(w sumachead.WorkspaceID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open[w]--; c.open[w] == 0 {
-		delete(c.open, w)
+	if c.inFlight[w]--; c.inFlight[w] == 0 {
+		delete(c.inFlight, w)
 	}
 }
 
-// concurrencyFilter bounds the open requests of a workspace.
+// concurrencyFilter limits the requests in flight of a workspace.
 func (r *Router) concurrencyFilter(next handler) handler {
 	return func(x *exchange) error {
 		w := x.workspace
-		if !r.limits.enter(w.ID, w.Limits.MaxConcurrent) {
-			return x.unsure(refuseSoon(sumachead.NotRun, sumachead.ReasonBusy, "the workspace has too many requests open here"))
+		if !r.concurrency.acquire(w.ID, w.Limits.MaxConcurrent) {
+			return x.widenForCallerKey(refuseWithRetry(sumachead.NotRun, sumachead.ReasonBusy, "the workspace has too many requests open here"))
 		}
-		defer r.limits.leave(w.ID)
+		defer r.concurrency.release(w.ID)
 		return next(x)
 	}
 }
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -15,43 +15,46 @@
 
 const (
 	helloTimeout = 500 * time.Millisecond
-	// heardLately is how fresh word from an agent must be for it to be sent
-	// what may not be repeated.
-	heardLately = time.Second
-	// probeEvery is how often an agent that was not reached is asked again.
-	// Until it has answered, its server is passed over.
-	probeEvery = 500 * time.Millisecond
-	// probeFor is how long it is asked; after that a request must ask.
-	probeFor = 10 * time.Minute
+	// maxLoadAge is the maximum age of an agent's last response at which a
+	// non-idempotent request is sent to the agent without asking it first.
+	maxLoadAge = time.Second
+	// probeInterval is the interval between probes of an unreachable agent. Its
+	// server is ejected until a probe succeeds.
+	probeInterval = 500 * time.Millisecond
+	// maxProbeTime is how long an unreachable agent is probed. After that its server
+	// may get requests again.
+	maxProbeTime = 10 * time.Minute
 )
 
 var errNoServer = errors.New("no backend server is left")
 
-// link is what this router knows of one backend server's agent.
+// link holds this router's client and state of the agent of a backend server.
 type link struct {
 	server sumachead.ServerID
 	client *rpc.Client
 
-	mu          sync.Mutex // guards the fields below
-	boot        string
-	load        *wire.Load
-	loadAt      time.Time
-	outstanding int
-	// down: the agent was not reached, and is being probed.
+	mu       sync.Mutex // guards the fields below
+	boot     string
+	load     *wire.Load
+	loadAt   time.Time
+	inFlight int
+	// down is set while the agent is unreachable and being probed.
 	down bool
-	// downSince is when the agent was first not reached; zero when it answered last.
+	// downSince is when the agent became unreachable; zero if the last call to it
+	// succeeded.
 	downSince time.Time
 }
 
-// target is a link as one attempt uses it: with the process that it names.
+// target is the destination of one attempt: a link and the agent process that
+// the attempt is bound to.
 type target struct {
 	*link
 	boot  string
 	epoch sumachead.Epoch
 }
 
-// learn takes in the load that a reply brought.
-func (l *link) learn(load *wire.Load) {
+// recordLoad records the load reported in a reply.
+func (l *link) recordLoad(load *wire.Load) {
 	if load == nil {
 		return
 	}
@@ -61,15 +64,16 @@
 	l.down, l.downSince = false, time.Time{}
 }
 
-// silent returns since when the agent has not been reached; zero when it answered last.
-func (l *link) silent() time.Time {
+// silentSince returns since when the agent has been unreachable; zero if the last
+// call to it succeeded.
+func (l *link) silentSince() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.downSince
 }
 
-// markDown passes the server over until its agent answers again, and forgets
-// its process.
+// markDown ejects the server until its agent responds again, and clears the boot
+// ID of the agent.
 func (l *link) markDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,20 +85,20 @@
 	if l.downSince.IsZero() {
 		l.downSince = time.Now()
 	}
-	go l.probe(time.Now().Add(probeFor))
+	go l.probe(time.Now().Add(maxProbeTime))
 }
 
-// probe asks the agent until it answers.
+// probe calls the agent until it responds or the time until has passed.
 func (l *link) probe(until time.Time) {
 	for time.Now().Before(until) {
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 		l.mu.Lock()
 		down := l.down
 		l.mu.Unlock()
 		if !down {
 			return
 		}
-		if _, err := l.ask(context.Background()); err == nil {
+		if _, err := l.callHello(context.Background()); err == nil {
 			return
 		}
 	}
@@ -103,45 +107,46 @@
 	l.down = false
 }
 
-func (l *link) open()  { l.count(1) }
-func (l *link) close() { l.count(-1) }
+func (l *link) addInFlight()    { l.changeInFlight(1) }
+func (l *link) removeInFlight() { l.changeInFlight(-1) }
 
-func (l *link) count(n int) {
+func (l *link) changeInFlight(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.outstanding += n
+	l.inFlight += n
 }
 
-// hello returns the boot of the process at the address, asking if need be. A
-// request that may not be repeated must not be sent where nobody may answer:
-// sure asks again unless the agent was heard of just now.
-func (l *link) hello(ctx context.Context, sure bool) (string, error) {
+// currentBoot returns the boot ID of the agent process at the address, and calls the
+// agent if it is unknown. If requireFresh is set, it also calls an agent whose last
+// response is older than maxLoadAge: a non-idempotent request must not be sent
+// to an agent that may be unreachable.
+func (l *link) currentBoot(ctx context.Context, requireFresh bool) (string, error) {
 	l.mu.Lock()
-	boot, recent := l.boot, time.Since(l.loadAt) < heardLately
+	boot, recent := l.boot, time.Since(l.loadAt) < maxLoadAge
 	l.mu.Unlock()
-	if boot != "" && (recent || !sure) {
+	if boot != "" && (recent || !requireFresh) {
 		return boot, nil
 	}
-	boot, err := l.ask(ctx)
+	boot, err := l.callHello(ctx)
 	if err != nil {
 		l.markDown()
 	}
 	return boot, err
 }
 
-// ask calls the agent and learns from its answer.
-func (l *link) ask(ctx context.Context) (string, error) {
+// callHello calls Agent.Hello, records the load of the agent and returns its boot ID.
+func (l *link) callHello(ctx context.Context) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	reply, err := rpc.Call[wire.HelloReply](ctx, l.client, "Agent.Hello", &wire.HelloRequest{})
 	if err != nil {
 		return "", err
 	}
-	l.learn(reply.GetLoad())
+	l.recordLoad(reply.GetLoad())
 	return reply.GetBoot(), nil
 }
 
-// linkTable holds the links by address.
+// linkTable holds the links by agent address.
 type linkTable struct {
 	pool *rpc.Pool
 
@@ -172,12 +177,12 @@
 	defer l.mu.Unlock()
 	return sumachead.Candidate{
 		Server: s.ID, Hall: s.Hall, Address: s.Agent, Epoch: s.Epoch,
-		Load: l.load, LoadAt: l.loadAt, Outstanding: l.outstanding,
+		Load: l.load, LoadAt: l.loadAt, Outstanding: l.inFlight,
 	}, !l.down
 }
 
-// candidates lists the servers of a pool that may get new work. Those that
-// were not reached lately come back only when there is no other.
+// candidates lists the servers of a pool that may get new requests. Servers with
+// an unreachable agent are listed only if there is no other.
 func (r *Router) candidates(p *settings.ResolvedPool) []sumachead.Candidate {
 	var up, down []sumachead.Candidate
 	for i := range p.Servers {
@@ -197,33 +202,34 @@
 	return up
 }
 
-// choose places an attempt at a server whose process is known.
-func (r *Router) choose(ctx context.Context, x *exchange, tried []sumachead.ServerID) (*target, error) {
+// chooseTarget chooses the target of an attempt. It skips servers whose agent does not
+// respond.
+func (r *Router) chooseTarget(ctx context.Context, x *exchange, tried []sumachead.ServerID) (*target, error) {
 	tried = slices.Clone(tried)
-	// The newest settings decide, not those that the request came in under.
+	// The current settings count, not those at the arrival of the request.
 	view := r.follower.View()
 	pool := view.Pool(x.pool.ID)
 	for pool != nil {
 		now := time.Now()
 		c, ok := r.Placer.Place(sumachead.PlaceRequest{
 			Hall: r.Config.Hall, Pool: pool.ID, Priority: x.priority,
-			Prefix: x.work.prefix, Tried: tried, Now: now,
+			Prefix: x.backend.prefixHash, Tried: tried, Now: now,
 		}, r.candidates(pool))
 		if !ok {
 			break
 		}
 		l := r.links.get(view.Server(c.Server))
-		if boot, err := l.hello(ctx, x.notRepeatable); err == nil {
+		if boot, err := l.currentBoot(ctx, x.nonIdempotent); err == nil {
 			return &target{link: l, boot: boot, epoch: c.Epoch}, nil
 		}
 		tried = append(tried, c.Server)
 	}
-	f := refuseSoon(sumachead.NotRun, sumachead.ReasonNoServer, errNoServer.Error())
+	f := refuseWithRetry(sumachead.NotRun, sumachead.ReasonNoServer, errNoServer.Error())
 	return nil, errors.Join(errNoServer, f)
 }
 
-// link returns the target that an attempt names.
-func (r *Router) link(a *wire.Attempt, v *settings.View) (*target, error) {
+// targetOf returns the target of an existing attempt.
+func (r *Router) targetOf(a *wire.Attempt, v *settings.View) (*target, error) {
 	s := v.Server(sumachead.ServerID(a.GetServer()))
 	if s == nil {
 		return nil, errNoServer
--- a/internal/router/retry.go
+++ b/internal/router/retry.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// retryReserve lets a workspace retry at once what was in flight at a
-	// server that dies.
-	retryReserve = 32.0
-	percent      = 100.0
+	// maxRetryBudget is the maximum retry budget. It lets a workspace retry at once
+	// what was in flight at a server that crashes.
+	maxRetryBudget = 32.0
+	percent        = 100.0
 )
 
-// retryBudgets bound the retries of each workspace to a part of its requests,
-// so that a failure does not multiply the load.
+// retryBudgets limits the retries of each workspace to a fraction of its
+// requests, so that a failure does not multiply the load.
 type retryBudgets struct {
-	mu   sync.Mutex // guards left
-	left map[sumachead.WorkspaceID]float64
+	mu        sync.Mutex // guards remaining
+	remaining map[sumachead.WorkspaceID]float64
 }
 
-// noteRequest earns the workspace its part of a retry.
-func (b *retryBudgets) noteRequest(w *settings.ResolvedWorkspace) {
+// recordRequest adds the fraction of a retry that one request earns.
+func (b *retryBudgets) recordRequest(w *settings.ResolvedWorkspace) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left == nil {
-		b.left = make(map[sumachead.WorkspaceID]float64)
+	if b.remaining == nil {
+		b.remaining = make(map[sumachead.WorkspaceID]float64)
 	}
-	left, ok := b.left[w.ID]
+	left, ok := b.remaining[w.ID]
 	if !ok {
-		left = retryReserve
+		left = maxRetryBudget
 	}
-	b.left[w.ID] = min(left+float64(w.Limits.RetryPercent)/percent, retryReserve)
+	b.remaining[w.ID] = min(left+float64(w.Limits.RetryPercent)/percent, maxRetryBudget)
 }
 
-// take spends one retry; false means that there is none left.
-func (b *retryBudgets) take(w *settings.ResolvedWorkspace) bool {
+// tryTake takes one retry from the budget. It returns false if none is left.
+func (b *retryBudgets) tryTake(w *settings.ResolvedWorkspace) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left[w.ID] < 1 {
+	if b.remaining[w.ID] < 1 {
 		return false
 	}
-	b.left[w.ID]--
+	b.remaining[w.ID]--
 	return true
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	// drainTimeout bounds how long a planned stop waits for requests in flight.
+	// drainTimeout is how long a graceful shutdown waits for requests in flight.
 	drainTimeout = 5 * time.Minute
-	// announceStop is how long a stopping router goes on taking requests while
-	// it reports that it is not ready, so that the balancer can turn away.
-	announceStop = 300 * time.Millisecond
+	// shutdownDelay is how long a stopping router still accepts requests while it
+	// reports that it is not ready, so that load balancers can stop using it.
+	shutdownDelay = 300 * time.Millisecond
 )
 
 // Router is one router process. Set the exported fields before Run.
@@ -40,19 +40,19 @@
 	CallerTLS *tls.Config
 	Placer    sumachead.Placer
 
-	boot     string
-	follower *follower.Follower
-	ledger   sumachead.Ledger
-	links    *linkTable
-	settler  *settler
-	limits   *concurrency
-	retries  *retryBudgets
-	metrics  *metrics
-	stopping atomic.Bool
-	owners   atomic.Uint64
+	boot         string
+	follower     *follower.Follower
+	ledger       sumachead.Ledger
+	links        *linkTable
+	settler      *settler
+	concurrency  *concurrency
+	retryBudgets *retryBudgets
+	metrics      *metrics
+	stopping     atomic.Bool
+	ownerCounter atomic.Uint64
 }
 
-// Run serves until ctx ends, then finishes the requests in flight.
+// Run serves until ctx is done, then finishes the requests in flight.
 func (r *Router) Run(ctx context.Context) error {
 	r.prepare()
 	work, stop := context.WithCancel(context.Background())
@@ -70,7 +70,7 @@
 	case <-ctx.Done():
 		r.stopping.Store(true)
 		r.Log.Info("Stopping: finishing requests in flight.")
-		time.Sleep(announceStop)
+		time.Sleep(shutdownDelay)
 		stopServing()
 		err = <-served
 		r.settler.flush()
@@ -88,8 +88,8 @@
 	r.ledger = client
 	r.links = newLinkTable(r.Pool)
 	r.settler = newSettler(r.ledger, r.Log.Named("settle"))
-	r.limits = &concurrency{}
-	r.retries = &retryBudgets{}
+	r.concurrency = &concurrency{}
+	r.retryBudgets = &retryBudgets{}
 	r.follower = &follower.Follower{
 		Config: r.Config, Boot: sumachead.BootID(r.boot), Pool: r.Pool, Log: r.Log.Named("settings"),
 		Without: []string{settings.KindBudgets, settings.KindTopups},
@@ -100,12 +100,12 @@
 	return &telemetry.HTTPServer{Address: r.Config.HTTP, TLS: r.CallerTLS, Handler: r.routes(), Drain: drainTimeout}
 }
 
-// routes is the table of what callers may ask for.
+// routes returns the HTTP handler for all paths.
 func (r *Router) routes() http.Handler {
 	m := chi.NewRouter()
 	telemetry.Mount(m, r.metrics.registry, r.ready)
-	m.Post("/v1/chat/completions", r.serve(chatWork))
-	m.HandleFunc("/v1/services/{pool}/*", r.serve(serviceWork))
+	m.Post("/v1/chat/completions", r.serve(prepareChat))
+	m.HandleFunc("/v1/services/{pool}/*", r.serve(prepareServiceCall))
 	m.NotFound(func(w http.ResponseWriter, q *http.Request) { r.unknownPath(w, q) })
 	m.MethodNotAllowed(func(w http.ResponseWriter, q *http.Request) { r.unknownPath(w, q) })
 	return m
@@ -116,8 +116,8 @@
 	r.refuse(x, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonBadRequest, "no such path or method", time.Time{}))
 }
 
-// serve returns the filter chain that ends in a dispatch of what prepare made
-// of the request.
+// serve returns a handler that runs the filter chain. prepare parses the body and
+// sets the backend request that the last handler dispatches.
 func (r *Router) serve(prepare func(*Router, *exchange) error) http.HandlerFunc {
 	h := chain.Wrap(r.dispatch,
 		r.errorFilter,
@@ -137,7 +137,7 @@
 		r.concurrencyFilter,
 	)
 	return func(w http.ResponseWriter, q *http.Request) {
-		_ = h(&exchange{w: w, r: q}) // answered by the error filter
+		_ = h(&exchange{w: w, r: q}) // errorFilter sends the error
 	}
 }
 
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// newOwner names an attempt of this router; no other attempt has the name.
-func (r *Router) newOwner() string {
+// newAttemptOwner returns a unique owner name for an attempt of this router.
+func (r *Router) newAttemptOwner() string {
 	const base = 36
-	return r.boot + "/" + formatUint(r.owners.Add(1), base)
+	return r.boot + "/" + formatUint(r.ownerCounter.Add(1), base)
 }
--- a/internal/router/settler.go
+++ b/internal/router/settler.go
@@ -18,28 +18,29 @@
 	settleBatch   = 256
 	settleWorkers = 2
 	settleTimeout = 30 * time.Second
-	// settleGather is how long the first of a batch waits for others.
-	settleGather = 2 * time.Millisecond
-	ackEvery     = 200 * time.Millisecond
-	ackTimeout   = 500 * time.Millisecond
-	flushTimeout = 10 * time.Second
+	// settleBatchWindow is how long the first item of a batch waits for more.
+	settleBatchWindow = 2 * time.Millisecond
+	ackInterval       = 200 * time.Millisecond
+	ackTimeout        = 500 * time.Millisecond
+	flushTimeout      = 10 * time.Second
 )
 
-// settleItem is one outcome on its way to the ledger.
+// settleItem is an outcome to be reported to the ledger.
 type settleItem struct {
 	settle *wire.SettleRequest
-	// server is told once the ledger has the outcome; nil for none.
-	server *target
+	// target is the target whose agent is acknowledged once the ledger has the
+	// outcome; nil for none.
+	target *target
 }
 
-// settler takes outcomes to the ledger in batches, off the callers' path, and
-// tells agents which of their answers are settled. What it loses in a crash
-// the agents settle themselves.
+// settler reports outcomes to the ledger in batches, asynchronously, and
+// acknowledges settled requests to their agents. Agents settle the outcomes that
+// a router loses in a crash.
 type settler struct {
-	ledger sumachead.Ledger
-	log    hclog.Logger
-	queue  chan settleItem
-	open   sync.WaitGroup
+	ledger  sumachead.Ledger
+	log     hclog.Logger
+	queue   chan settleItem
+	pending sync.WaitGroup
 
 	mu   sync.Mutex // guards acks
 	acks map[*rpc.Client]*wire.AckRequest
@@ -52,40 +53,41 @@
 	}
 }
 
-// add queues an outcome. A full queue drops it: the agent settles in its time.
-func (s *settler) add(i settleItem) {
-	s.open.Add(1)
+// enqueue queues an outcome. It drops the outcome if the queue is full: the agent
+// settles it later.
+func (s *settler) enqueue(i settleItem) {
+	s.pending.Add(1)
 	select {
 	case s.queue <- i:
 	default:
-		s.open.Done()
-		s.log.Warn("The settle queue is full; the agent will settle.", "key", i.settle.GetKey())
+		s.pending.Done()
+		s.log.Warn("Settle queue is full; leaving the request to its agent.", "key", i.settle.GetKey())
 	}
 }
 
-// run settles until ctx ends.
+// run settles queued outcomes until ctx is done.
 func (s *settler) run(ctx context.Context) error {
 	for range settleWorkers {
-		go s.work(ctx)
+		go s.runWorker(ctx)
 	}
-	return loop.Every(ctx, ackEvery, func() { s.sendAcks(ctx) })
+	return loop.Every(ctx, ackInterval, func() { s.sendAcks(ctx) })
 }
 
-func (s *settler) work(ctx context.Context) {
+func (s *settler) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case i := <-s.queue:
-			s.settleAll(ctx, s.gather(i))
+			s.settleAll(ctx, s.collectBatch(i))
 		}
 	}
 }
 
-// gather makes a batch of what comes within a short time.
-func (s *settler) gather(first settleItem) []settleItem {
+// collectBatch collects a batch of the items that arrive within settleBatchWindow.
+func (s *settler) collectBatch(first settleItem) []settleItem {
 	items := []settleItem{first}
-	timer := time.NewTimer(settleGather)
+	timer := time.NewTimer(settleBatchWindow)
 	defer timer.Stop()
 	for len(items) < settleBatch {
 		select {
@@ -98,8 +100,8 @@
 	return items
 }
 
-// settleAll settles a batch. A hall's journal that is not reached holds up
-// nothing but its own part.
+// settleAll settles a batch, split by hall. The outcomes of halls are settled
+// concurrently, so that an unreachable journal delays only its own outcomes.
 func (s *settler) settleAll(ctx context.Context, items []settleItem) {
 	parts := make(map[string][]settleItem)
 	for _, i := range items {
@@ -116,7 +118,7 @@
 }
 
 func (s *settler) settle(ctx context.Context, items []settleItem) {
-	defer s.open.Add(-len(items))
+	defer s.pending.Add(-len(items))
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	batch := &wire.SettleBatch{}
@@ -124,19 +126,19 @@
 		batch.Settles = append(batch.Settles, i.settle)
 	}
 	if err := s.ledger.Settle(ctx, batch); err != nil {
-		s.log.Warn("Settling failed; the agents will settle.", "requests", len(items), "error", err)
+		s.log.Warn("Failed to settle; leaving the requests to their agents.", "requests", len(items), "error", err)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range items {
-		if i.server == nil {
+		if i.target == nil {
 			continue
 		}
-		a := s.acks[i.server.client]
-		if a == nil || a.GetBoot() != i.server.boot {
-			a = &wire.AckRequest{Boot: i.server.boot}
-			s.acks[i.server.client] = a
+		a := s.acks[i.target.client]
+		if a == nil || a.GetBoot() != i.target.boot {
+			a = &wire.AckRequest{Boot: i.target.boot}
+			s.acks[i.target.client] = a
 		}
 		a.Settled = append(a.Settled, &wire.RunKey{Workspace: i.settle.GetWorkspace(), Key: i.settle.GetKey()})
 	}
@@ -152,17 +154,17 @@
 			ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 			defer cancel()
 			if _, err := rpc.Call[wire.Empty](ctx, client, "Agent.Ack", a); err != nil {
-				s.log.Debug("An agent was not told what is settled.", "error", err)
+				s.log.Debug("Failed to acknowledge settled requests to an agent.", "error", err)
 			}
 		}()
 	}
 }
 
-// flush waits until what is queued has been settled.
+// flush waits until the queued outcomes have been settled and acknowledged.
 func (s *settler) flush() {
 	done := make(chan struct{})
 	go func() {
-		s.open.Wait()
+		s.pending.Wait()
 		close(done)
 	}()
 	select {
@@ -172,5 +174,5 @@
 	ctx, cancel := context.WithTimeout(context.Background(), ackTimeout)
 	defer cancel()
 	s.sendAcks(ctx)
-	time.Sleep(ackEvery)
+	time.Sleep(ackInterval)
 }
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -10,45 +10,45 @@
 	"sumachead/internal/settings"
 )
 
-// awaitServer places the next attempt, and waits for a backend server where none can be
-// reached for now: as long as one is expected to come back before the deadline.
-func (d *dispatch) awaitServer() error {
+// waitForServer chooses the target of the next attempt. If no backend server is reachable, it
+// waits for one as long as one is expected to respond before the deadline.
+func (d *dispatch) waitForServer() error {
 	for {
 		err := d.place()
 		if !errors.Is(err, errNoServer) {
 			return err
 		}
 		now := time.Now()
-		again, wait := patience.ShouldWait(d.lacking(), usefulUntil(d.x.deadline), now)
+		retryAt, wait := patience.ShouldWait(d.serverEstimate(), singleDeadline(d.x.deadline), now)
 		if !wait {
 			return err
 		}
-		if next := now.Add(probeEvery); next.Before(again) {
-			again = next
+		if next := now.Add(probeInterval); next.Before(retryAt) {
+			retryAt = next
 		}
-		if !loop.Pause(d.ctx, nil, again) {
+		if !loop.Pause(d.ctx, nil, retryAt) {
 			return err
 		}
 		d.tried = nil
 	}
 }
 
-// usefulUntil is the use of an answer to a caller who tells nothing but a deadline.
-func usefulUntil(deadline time.Time) patience.Deadlines {
+// singleDeadline returns the deadlines for a caller that sets only one deadline.
+func singleDeadline(deadline time.Time) patience.Deadlines {
 	return patience.Deadlines{Soft: deadline, Hard: deadline}
 }
 
-// mayAwait reports whether a refused attempt is one that a backend server may take as
-// soon as it runs and knows the settings.
-func mayAwait(f *sumachead.Refusal) bool {
+// mayWaitForServer reports whether a server may accept the refused attempt as soon as its agent is
+// reachable and has current settings.
+func mayWaitForServer(f *sumachead.Refusal) bool {
 	return f.Verdict == sumachead.NotRun &&
 		(f.Reason == sumachead.ReasonServerUnreached || f.Reason == sumachead.ReasonSettingsStale)
 }
 
-// lacking is the prospect of a backend server for the request: the server that has been
-// silent for the shortest time, or has just refused, is expected to take as long again.
-// Servers that leave do not count.
-func (d *dispatch) lacking() sumachead.Prospect {
+// serverEstimate estimates when a backend server is available for the request: the server that has
+// been silent for the shortest time, or has just refused, is expected to stay unavailable for
+// as long as it has been so far. Leaving servers do not count.
+func (d *dispatch) serverEstimate() sumachead.Prospect {
 	latest := d.refusedAt
 	if pool := d.follower.View().Pool(d.x.pool.ID); pool != nil {
 		latest = d.links.silentSince(pool, latest)
@@ -56,15 +56,15 @@
 	return patience.ElapsedEstimate{Since: latest}
 }
 
-// silentSince returns the latest time, after the one given, since which a backend server
-// of the pool that may get new work has been silent.
+// silentSince returns the latest time at which a backend server of the pool became silent, or
+// latest if that is later. Leaving servers do not count.
 func (t *linkTable) silentSince(p *settings.ResolvedPool, latest time.Time) time.Time {
 	for i := range p.Servers {
 		s := &p.Servers[i]
 		if s.State == settings.ServerLeaving {
 			continue
 		}
-		if since := t.get(s).silent(); since.After(latest) {
+		if since := t.get(s).silentSince(); since.After(latest) {
 			latest = since
 		}
 	}
--- a/internal/router/waiting_test.go
+++ b/internal/router/waiting_test.go
@@ -16,7 +16,7 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	after := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	type server struct {
-		silent  int // seconds after start; 0 for one that answers
+		silent  int // seconds after start; 0 for a responding server
 		leaving bool
 	}
 	tests := []struct {
@@ -27,11 +27,11 @@
 	}{
 		{"no servers", nil, time.Time{}, time.Time{}},
 		{"no servers, one refused", nil, after(3), after(3)},
-		{"all answer", []server{{}, {}}, time.Time{}, time.Time{}},
-		{"the last to fall silent", []server{{silent: 5}, {silent: 9}, {silent: 7}}, time.Time{}, after(9)},
-		{"a refusal after it", []server{{silent: 5}}, after(6), after(6)},
-		{"a refusal before it", []server{{silent: 5}}, after(4), after(5)},
-		{"one that leaves does not count", []server{{silent: 5}, {silent: 9, leaving: true}}, time.Time{}, after(5)},
+		{"all respond", []server{{}, {}}, time.Time{}, time.Time{}},
+		{"last server to become silent", []server{{silent: 5}, {silent: 9}, {silent: 7}}, time.Time{}, after(9)},
+		{"refusal after the silence began", []server{{silent: 5}}, after(6), after(6)},
+		{"refusal before the silence began", []server{{silent: 5}}, after(4), after(5)},
+		{"leaving server does not count", []server{{silent: 5}, {silent: 9, leaving: true}}, time.Time{}, after(5)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -55,25 +55,25 @@
 	}
 }
 
-// An agent has been silent since it was first not reached, however often that is found,
-// until it answers.
+// An agent counts as silent from the first failed call until it responds. Further failed
+// calls must not move that time.
 func TestSilence(t *testing.T) {
 	since := time.Now().Add(-time.Hour)
-	// It is not probed any more, and a request has asked in vain once again.
+	// The agent is no longer probed, and a call by a request has failed once more.
 	l := &link{client: &rpc.Client{Address: "127.0.0.1:1"}, downSince: since}
 	l.markDown()
-	if diff := cmp.Diff(since, l.silent()); diff != "" {
+	if diff := cmp.Diff(since, l.silentSince()); diff != "" {
 		t.Errorf("after another failure (-want +got):\n%s", diff)
 	}
-	l.learn(&wire.Load{})
-	if !l.silent().IsZero() {
-		t.Error("silent after it answered")
+	l.recordLoad(&wire.Load{})
+	if !l.silentSince().IsZero() {
+		t.Error("silent after it responded")
 	}
 	l.markDown()
-	if !l.silent().After(since) {
-		t.Error("silent since before it answered")
+	if !l.silentSince().After(since) {
+		t.Error("silent since before it responded")
 	}
-	l.learn(&wire.Load{}) // ends the probes
+	l.recordLoad(&wire.Load{}) // stops the probing
 }
 
 func TestMayAwait(t *testing.T) {
@@ -90,7 +90,7 @@
 		{sumachead.Ran, sumachead.ReasonServerUnreached, false},
 	}
 	for _, tt := range tests {
-		got := mayAwait(&sumachead.Refusal{Verdict: tt.verdict, Reason: tt.reason})
+		got := mayWaitForServer(&sumachead.Refusal{Verdict: tt.verdict, Reason: tt.reason})
 		if diff := cmp.Diff(tt.want, got); diff != "" {
 			t.Errorf("%s, %s (-want +got):\n%s", tt.verdict, tt.reason, diff)
 		}
--- a/internal/router/work.go
+++ b/internal/router/work.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// promptOverhead covers the tokens that an engine's template adds.
+	// promptOverhead is an allowance for the tokens that an engine's template adds.
 	promptOverhead = 64
-	// prefixBytes is how much of the messages finds a server's prefix cache.
+	// prefixBytes is the length of the messages' prefix by which the scheduler
+	// finds a server that has the prompt in its prefix cache.
 	prefixBytes = 256
 )
 
-// chatRequest is the part of a chat completion request that the router looks
-// at; the rest is passed on as it came.
+// chatRequest is the part of a chat completion request that the router reads.
+// The other members are forwarded unchanged.
 type chatRequest struct {
 	Model               string         `json:"model"`
 	Messages            jsontext.Value `json:"messages"`
@@ -37,8 +38,8 @@
 	Rest         jsontext.Value `json:",unknown"`
 }
 
-// chatWork prepares a chat completion.
-func chatWork(_ *Router, x *exchange) error {
+// prepareChat parses a chat completion request and sets the backend request.
+func prepareChat(_ *Router, x *exchange) error {
 	var q chatRequest
 	if err := json.Unmarshal(x.body, &q); err != nil {
 		return notRun(sumachead.ReasonBadRequest, "the body is not a chat completion request: "+err.Error(), time.Time{})
@@ -46,16 +47,16 @@
 	if q.Messages.Kind() != '[' {
 		return notRun(sumachead.ReasonBadRequest, "messages: missing or not a list", time.Time{})
 	}
-	if q.N != nil && *q.N < 1 || q.outputLimit() < 0 {
+	if q.N != nil && *q.N < 1 || q.requestedTokens() < 0 {
 		return notRun(sumachead.ReasonBadRequest, "n, max_tokens or max_completion_tokens is out of range", time.Time{})
 	}
-	if err := x.choosePool(x.view.Model(q.Model), settings.ModelPool); err != nil {
+	if err := x.selectPool(x.view.Model(q.Model), settings.ModelPool); err != nil {
 		return err
 	}
-	limit := x.answerLimit(q.outputLimit())
+	limit := x.outputTokenLimit(q.requestedTokens())
 	q.MaxTokens, q.MaxCompletionTokens = &limit, nil
 	wantsStream := q.Stream
-	assemble := !q.Stream && q.plain()
+	assemble := !q.Stream && q.isPlainText()
 	if q.Stream = q.Stream || assemble; q.Stream {
 		if q.StreamOptions == nil {
 			q.StreamOptions = &streamOptions{}
@@ -66,27 +67,27 @@
 	if err != nil {
 		return notRun(sumachead.ReasonBadRequest, err.Error(), time.Time{})
 	}
-	answers := int64(1)
+	choices := int64(1)
 	if q.N != nil {
-		answers = *q.N
+		choices = *q.N
 	}
-	const maxAnswers = 128
-	if answers > maxAnswers {
+	const maxChoices = 128
+	if choices > maxChoices {
 		return notRun(sumachead.ReasonBadRequest, "n is above 128", time.Time{})
 	}
-	x.work = work{
+	x.backend = backendRequest{
 		method: "POST", path: "/v1/chat/completions", contentType: "application/json",
 		body: body, stream: wantsStream, assemble: assemble,
 		// No tokenizer makes more tokens than there are bytes.
-		bound:  sumachead.Tokens(int64(len(x.body)) + promptOverhead + answers*limit),
-		prefix: xxhash.Sum64(q.Messages[:min(len(q.Messages), prefixBytes)]),
+		maxCost:    sumachead.Tokens(int64(len(x.body)) + promptOverhead + choices*limit),
+		prefixHash: xxhash.Sum64(q.Messages[:min(len(q.Messages), prefixBytes)]),
 	}
 	return nil
 }
 
-// plain reports whether the answer will be of text alone, so that its parts can
-// be put together.
-func (q *chatRequest) plain() bool {
+// isPlainText reports whether the response will consist of text alone, so that its
+// chunks can be assembled.
+func (q *chatRequest) isPlainText() bool {
 	if q.N != nil && *q.N > 1 {
 		return false
 	}
@@ -102,8 +103,9 @@
 	return true
 }
 
-// outputLimit returns the caller's wish; 0 when there is none.
-func (q *chatRequest) outputLimit() int64 {
+// requestedTokens returns the maximum of output tokens that the caller requested; 0
+// if it requested none.
+func (q *chatRequest) requestedTokens() int64 {
 	switch {
 	case q.MaxCompletionTokens != nil:
 		return *q.MaxCompletionTokens
@@ -113,17 +115,17 @@
 	return 0
 }
 
-// answerLimit returns the most tokens that the answer may have.
-func (x *exchange) answerLimit(wish int64) int64 {
+// outputTokenLimit returns the maximum of output tokens of the response.
+func (x *exchange) outputTokenLimit(requested int64) int64 {
 	l := x.workspace.Limits
-	if wish == 0 {
-		wish = l.DefaultOutputTokens
+	if requested == 0 {
+		requested = l.DefaultOutputTokens
 	}
-	return min(wish, l.MaxOutputTokens)
+	return min(requested, l.MaxOutputTokens)
 }
 
-// choosePool checks that the workspace may use the pool.
-func (x *exchange) choosePool(p *settings.ResolvedPool, kind settings.PoolKind) error {
+// selectPool sets the pool of the request if the workspace may use it.
+func (x *exchange) selectPool(p *settings.ResolvedPool, kind settings.PoolKind) error {
 	if p == nil || p.Kind != kind {
 		return notRun(sumachead.ReasonUnknownPool, "no pool serves this", time.Time{})
 	}
@@ -134,16 +136,16 @@
 	return nil
 }
 
-// serviceWork prepares a call to a plain service.
-func serviceWork(_ *Router, x *exchange) error {
+// prepareServiceCall sets the backend request for a call to a plain service.
+func prepareServiceCall(_ *Router, x *exchange) error {
 	pool := x.view.Pool(sumachead.PoolID(chi.URLParam(x.r, "pool")))
-	if err := x.choosePool(pool, settings.ServicePool); err != nil {
+	if err := x.selectPool(pool, settings.ServicePool); err != nil {
 		return err
 	}
-	x.work = work{
+	x.backend = backendRequest{
 		method: x.r.Method, path: "/" + chi.URLParam(x.r, "*"), query: x.r.URL.RawQuery,
 		contentType: x.r.Header.Get("Content-Type"), body: x.body,
-		bound: pool.CallCost, flatCost: pool.CallCost,
+		maxCost: pool.CallCost, flatCost: pool.CallCost,
 	}
 	return nil
 }
