--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// drainTimeout bounds how long a planned stop waits for what runs.
+	// drainTimeout is how long a graceful shutdown waits for requests in flight.
 	drainTimeout = 5 * time.Minute
-	// deliverTimeout bounds how long a planned stop waits for routers to
-	// fetch finished answers.
+	// deliverTimeout is how long a graceful shutdown waits for routers to fetch
+	// finished responses.
 	deliverTimeout = 5 * time.Second
-	sweepEvery     = 250 * time.Millisecond
+	sweepInterval  = 250 * time.Millisecond
 )
 
 // Agent is one agent process. Set the exported fields before Run.
@@ -45,16 +45,16 @@
 	queue    *queue
 	backend  *backend
 	health   *health
-	rests    *backoff.Table
+	backoffs *backoff.Table
 	metrics  *metrics
 	stopping atomic.Bool
 
 	mu sync.Mutex // guards epoch
-	// epoch is the highest fencing epoch seen.
+	// epoch is the highest fencing epoch that the agent has seen.
 	epoch sumachead.Epoch
 }
 
-// Run serves until ctx ends, then finishes what runs and stops.
+// Run serves until ctx is done, then finishes the requests in flight and stops.
 func (a *Agent) Run(ctx context.Context) error {
 	a.prepare()
 	if err := a.RPC.Register("Agent", &service{a}); err != nil {
@@ -89,12 +89,12 @@
 	a.runs = newRunTable(a.Config.Agent.RetainedBytes)
 	a.queue = &queue{}
 	a.health = &health{}
-	a.rests = &backoff.Table{Clock: boottime.Clock{}}
+	a.backoffs = &backoff.Table{Clock: boottime.Clock{}}
 	a.backend = newBackend(a.Config.Agent.Backend, a.health)
-	a.backend.rested = func(d time.Duration) {
-		a.metrics.rests.Inc()
-		if a.rests.Set(a.Config.Agent.Server, d) {
-			a.Log.Info("The backend server asks for rest.", "rest", d)
+	a.backend.onBackoff = func(d time.Duration) {
+		a.metrics.backoffs.Inc()
+		if a.backoffs.Set(a.Config.Agent.Server, d) {
+			a.Log.Info("Backend server requested a backoff.", "rest", d)
 		}
 	}
 	a.follower = &follower.Follower{
@@ -103,9 +103,9 @@
 	}
 }
 
-// own returns this agent's backend server and its pool, or nil when the
-// settings do not have them.
-func (a *Agent) own(v *settings.View) (*settings.ResolvedServer, *settings.ResolvedPool) {
+// ownServer returns this agent's backend server and its pool, or nil if the settings
+// do not have them.
+func (a *Agent) ownServer(v *settings.View) (*settings.ResolvedServer, *settings.ResolvedPool) {
 	if v == nil {
 		return nil, nil
 	}
@@ -129,11 +129,11 @@
 	}
 }
 
-// drain refuses new work, finishes what runs, and waits a while for routers to
-// fetch the answers.
+// drain refuses new requests, waits for the requests in flight, and then up to
+// deliverTimeout for routers to fetch the responses.
 func (a *Agent) drain() {
 	a.stopping.Store(true)
-	a.Log.Info("Stopping: finishing what runs.", "running", a.runs.active())
+	a.Log.Info("Stopping: finishing requests in flight.", "running", a.runs.active())
 	deadline := time.Now().Add(drainTimeout)
 	const pollEvery = 20 * time.Millisecond
 	for a.runs.active() > 0 && time.Now().Before(deadline) {
@@ -146,29 +146,29 @@
 }
 
 func (a *Agent) sweepLoop(ctx context.Context) error {
-	return loop.Every(ctx, sweepEvery, func() {
+	return loop.Every(ctx, sweepInterval, func() {
 		now := time.Now()
 		a.runs.sweep(now)
 		a.queue.setSlots(a.slots())
-		if _, yes := a.suspect(now); yes {
+		if _, yes := a.presumedStuck(now); yes {
 			a.queue.shedAll()
 		}
 	})
 }
 
-// suspect reports whether the backend server seems to be stuck, and until when
-// to stay away. Plain services send nothing until they are done, so that only
-// model engines are judged.
-func (a *Agent) suspect(now time.Time) (until time.Time, yes bool) {
-	_, pool := a.own(a.follower.View())
+// presumedStuck reports whether the backend server is presumed stuck, and until when
+// to send it nothing. It checks model engines only: plain services send nothing
+// until they are done.
+func (a *Agent) presumedStuck(now time.Time) (until time.Time, yes bool) {
+	_, pool := a.ownServer(a.follower.View())
 	if pool == nil || pool.Kind != settings.ModelPool {
 		return time.Time{}, false
 	}
-	return a.health.suspect(pool.StuckAfter.Duration, now)
+	return a.health.presumedStuck(pool.StuckAfter.Duration, now)
 }
 
 func (a *Agent) slots() int {
-	if s, _ := a.own(a.follower.View()); s != nil {
+	if s, _ := a.ownServer(a.follower.View()); s != nil {
 		return int(s.Slots)
 	}
 	return 0
--- a/internal/agent/assemble.go
+++ b/internal/agent/assemble.go
@@ -11,10 +11,10 @@
 	"sumachead/internal/strictjson"
 )
 
-// assembly is the sink that puts a streamed answer of text together, for a
-// caller who asked for one whole. The backend server is asked to stream so that
-// a stuck answer is found by missing tokens.
-type assembly struct {
+// assembler is the sink that assembles a streamed text response for a caller that
+// did not ask for a stream. The backend server is asked to stream so that a
+// stuck response is detected by missing tokens.
+type assembler struct {
 	id      string
 	created int64
 	model   string
@@ -23,8 +23,8 @@
 	finish  *string
 }
 
-// deltaChoice is the part of a streamed choice that makes up the whole. Any
-// other member is an error: it would be lost.
+// deltaChoice is the part of a streamed choice that can be assembled. Any other
+// member is an error, because it would be lost.
 type deltaChoice struct {
 	Index        int     `json:"index"`
 	Delta        delta   `json:"delta"`
@@ -38,34 +38,34 @@
 	Refusal any     `json:"refusal,omitzero"`
 }
 
-// wholeAnswer is a chat completion in one piece.
-type wholeAnswer struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Created int64         `json:"created,omitzero"`
-	Model   string        `json:"model,omitzero"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   wholeUsage    `json:"usage"`
+// chatCompletion is a chat completion that is not streamed.
+type chatCompletion struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created,omitzero"`
+	Model   string             `json:"model,omitzero"`
+	Choices []completionChoice `json:"choices"`
+	Usage   completionUsage    `json:"usage"`
 }
 
-type wholeChoice struct {
-	Index        int          `json:"index"`
-	Message      wholeMessage `json:"message"`
-	FinishReason *string      `json:"finish_reason"`
+type completionChoice struct {
+	Index        int               `json:"index"`
+	Message      completionMessage `json:"message"`
+	FinishReason *string           `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-type wholeUsage struct {
+type completionUsage struct {
 	Prompt     int64 `json:"prompt_tokens"`
 	Completion int64 `json:"completion_tokens"`
 	Total      int64 `json:"total_tokens"`
 }
 
-func (a *assembly) chunk(m *modelAnswer) error {
+func (a *assembler) chunk(m *modelResponse) error {
 	a.id = m.ID
 	a.created = max(a.created, m.Created)
 	if m.Model != "" {
@@ -74,7 +74,7 @@
 	for _, raw := range m.Choices {
 		var c deltaChoice
 		if err := json.Unmarshal(raw, &c, json.RejectUnknownMembers(true)); err != nil || c.Index != 0 {
-			return badAnswer("the answer has parts that can't be put together")
+			return badResponse("the answer has parts that can't be put together")
 		}
 		if c.Delta.Role != "" {
 			a.role = c.Delta.Role
@@ -89,31 +89,31 @@
 	return nil
 }
 
-func (a *assembly) event(*http.Response, []byte) {}
+func (a *assembler) event(*http.Response, []byte) {}
 
-// encode returns the answer in one piece.
-func (a *assembly) encode(u *usage) ([]byte, error) {
+// encode returns the assembled response as JSON.
+func (a *assembler) encode(u *usage) ([]byte, error) {
 	if a.role == "" {
 		a.role = "assistant"
 	}
-	return strictjson.Encode(wholeAnswer{
+	return strictjson.Encode(chatCompletion{
 		ID: a.id, Object: "chat.completion", Created: a.created, Model: a.model,
-		Choices: []wholeChoice{{Message: wholeMessage{a.role, a.text.String()}, FinishReason: a.finish}},
-		Usage:   wholeUsage{u.Prompt, u.Completion, u.Prompt + u.Completion},
+		Choices: []completionChoice{{Message: completionMessage{a.role, a.text.String()}, FinishReason: a.finish}},
+		Usage:   completionUsage{u.Prompt, u.Completion, u.Prompt + u.Completion},
 	})
 }
 
-// assemble takes a stream in and passes it on as one whole.
+// assemble reads a stream and relays it to the caller in one piece.
 func (m *modelRelay) assemble(resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
 	tokens, err := m.stream.relay(resp, body)
 	if err != nil {
 		return tokens, err
 	}
-	data, err := m.whole.encode(m.stream.usage)
+	data, err := m.assembler.encode(m.stream.usage)
 	if err != nil {
-		return tokens, badAnswer(err.Error())
+		return tokens, badResponse(err.Error())
 	}
-	m.run.begin(http.StatusOK, "application/json")
+	m.run.setHead(http.StatusOK, "application/json")
 	m.run.write(data)
 	return tokens, nil
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -22,7 +22,7 @@
 	"sumachead/internal/settings"
 )
 
-// Headers that the agent sets towards the backend server.
+// Headers of requests to the backend server.
 const (
 	headerRequestID  = "X-Request-Id"
 	headerEpoch      = "Sumachead-Epoch"
@@ -30,16 +30,16 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer.
-	maxAnswerBytes = 8 << 20
-	dialTimeout    = time.Second
-	readBuffer     = 16 << 10
+	// maxResponseBytes is the maximum size of a response.
+	maxResponseBytes = 8 << 20
+	dialTimeout      = time.Second
+	readBuffer       = 16 << 10
 )
 
-// errBroken tells that a stream ended before its end mark.
-var errBroken = errors.New("the stream broke off")
+// errStreamInterrupted is returned when a stream ends before its end marker.
+var errStreamInterrupted = errors.New("the stream broke off")
 
-// errStuck ends a request whose answer has stopped coming.
+// errStuck is the cancellation cause of a request whose response has stalled.
 var errStuck = errors.New("the backend server sends nothing")
 
 // backend relays requests to the backend server.
@@ -47,11 +47,11 @@
 	base   string
 	client *http.Client
 	health *health
-	// rested is told for how long the server wants nothing, when it says so.
-	rested func(time.Duration)
+	// onBackoff is called with the duration of a backoff that the server requests.
+	onBackoff func(time.Duration)
 
-	mu    sync.Mutex // guards first
-	first time.Duration
+	mu           sync.Mutex // guards avgFirstByte
+	avgFirstByte time.Duration
 }
 
 func newBackend(base string, h *health) *backend {
@@ -59,8 +59,8 @@
 	return &backend{
 		base: strings.TrimSuffix(base, "/"), health: h,
 		client: &http.Client{
-			// A connection serves one request: one that the server has just
-			// closed can't be told from one on which a request was lost.
+			// Each connection serves a single request: a connection that the
+			// server has just closed can't be told from one on which a request was lost.
 			Transport: &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error {
 				return http.ErrUseLastResponse
@@ -69,77 +69,77 @@
 	}
 }
 
-// firstToken returns the moving average of the time to the first byte.
-func (b *backend) firstToken() time.Duration {
+// firstByteTime returns the moving average of the time to the first byte.
+func (b *backend) firstByteTime() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.first
+	return b.avgFirstByte
 }
 
-func (b *backend) noteFirst(took time.Duration) {
+func (b *backend) recordFirstByte(took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.first == 0 {
-		b.first = took
+	if b.avgFirstByte == 0 {
+		b.avgFirstByte = took
 	}
-	b.first += time.Duration(averageWeight * float64(took-b.first))
+	b.avgFirstByte += time.Duration(averageWeight * float64(took-b.avgFirstByte))
 }
 
-// do relays one request and writes the answer to x. It returns the tokens to
-// bill; after an error these are what is known to have been used.
+// do relays one request and writes the response to x. It returns the tokens to
+// bill; after an error these are the tokens known to have been used.
 func (b *backend) do(ctx context.Context, x *run, r *wire.RunRequest, pool *settings.ResolvedPool) (sumachead.Tokens, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := newWatch(pool.StuckAfter.Duration, func() {
-		b.health.stuck(time.Now())
+	watch := newWatchdog(pool.StuckAfter.Duration, func() {
+		b.health.requestStuck(time.Now())
 		cancel(errStuck)
 	})
 	defer watch.stop()
-	whole := false
-	if silentUntilDone(r, pool) {
+	complete := false
+	if respondsInOnePiece(r, pool) {
 		watch.stop()
 	} else {
-		b.health.began(time.Now())
-		defer func() { b.health.ended(whole) }()
+		b.health.requestStarted(time.Now())
+		defer func() { b.health.requestEnded(complete) }()
 	}
 	m := newModelRelay(x, r)
 	tokens, err := b.exchange(ctx, x, r, pool, watch, m)
-	if errors.Is(err, errBroken) && pool.Resume && m.stream.chunks > 0 {
+	if errors.Is(err, errStreamInterrupted) && pool.Resume && m.stream.chunks > 0 {
 		tokens, err = b.exchange(ctx, x, r, pool, watch, m)
 	}
-	whole = err == nil
-	return tokens, stuckOr(ctx, err)
+	complete = err == nil
+	return tokens, refuseIfStuck(ctx, err)
 }
 
-// exchange sends the request, or asks the engine to go on with an answer that
-// broke off, and takes in what comes.
-func (b *backend) exchange(ctx context.Context, x *run, r *wire.RunRequest, pool *settings.ResolvedPool, watch *watch, m *modelRelay) (sumachead.Tokens, error) {
+// exchange sends the request, or asks the engine to resume an interrupted
+// response, and relays the response.
+func (b *backend) exchange(ctx context.Context, x *run, r *wire.RunRequest, pool *settings.ResolvedPool, watch *watchdog, m *modelRelay) (sumachead.Tokens, error) {
 	began := time.Now()
 	resp, err := b.send(ctx, r, m.stream.chunks)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body := &watched{
-		Reader: io.LimitReader(resp.Body, maxAnswerBytes+1), watch: watch, health: b.health,
-		first: func() { b.noteFirst(time.Since(began)) },
+	body := &watchedReader{
+		Reader: io.LimitReader(resp.Body, maxResponseBytes+1), watch: watch, health: b.health,
+		onFirstByte: func() { b.recordFirstByte(time.Since(began)) },
 	}
 	if pool.Kind == settings.ServicePool {
 		return relayService(x, r, resp, body)
 	}
-	return m.take(resp, body)
+	return m.handleResponse(resp, body)
 }
 
-// stuckOr replaces err by a refusal when the watch ended the request.
-func stuckOr(ctx context.Context, err error) error {
+// refuseIfStuck replaces err by a refusal if the watchdog cancelled the request.
+func refuseIfStuck(ctx context.Context, err error) error {
 	if err != nil && errors.Is(context.Cause(ctx), errStuck) {
-		return sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonStuck, errStuck.Error(), time.Now().Add(retrySoon))
+		return sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonStuck, errStuck.Error(), time.Now().Add(shortRetryDelay))
 	}
 	return err
 }
 
-// send sends the request; from is the number of the answer's chunks that are
-// here already.
+// send sends the request; from is the number of chunks of the response that were
+// received already.
 func (b *backend) send(ctx context.Context, r *wire.RunRequest, from int64) (*http.Response, error) {
 	url := b.base + r.GetPath()
 	if r.GetQuery() != "" {
@@ -160,57 +160,57 @@
 	req.Header.Set(headerEpoch, strconv.FormatUint(r.GetEpoch(), 10))
 	resp, err := b.client.Do(req)
 	if err == nil {
-		b.noteRest(resp)
+		b.recordBackoff(resp)
 		return resp, nil
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonServerUnreached, err.Error(), time.Now().Add(retrySoon))
+		return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonServerUnreached, err.Error(), time.Now().Add(shortRetryDelay))
 	}
 	return nil, trace.Wrap(err)
 }
 
-// noteRest takes in what a server asks for that turns a request away, so that its agent sends it
-// nothing until then and routers prefer others: of 100 calls at four at a time 56 reached an
-// engine that had asked for rest without it, one to four with it (scenario servers_rest). What
-// can't be read counts for nothing.
-func (b *backend) noteRest(resp *http.Response) {
+// recordBackoff records the backoff that a server requests when it rejects a request, so that the
+// agent sends it nothing until then and routers prefer other servers. Without it, 56 of 100 calls
+// with four in flight at a time reached an engine that had requested a backoff; with it, one to
+// four did (scenario servers_rest). A malformed header is ignored.
+func (b *backend) recordBackoff(resp *http.Response) {
 	v := resp.Header.Get("Retry-After")
 	if resp.StatusCode != http.StatusServiceUnavailable || v == "" {
 		return
 	}
 	if d, err := backoff.Parse(v, resp.Header.Get("Date"), time.Now()); err == nil && d > 0 {
-		b.rested(d)
+		b.onBackoff(d)
 	}
 }
 
-// requestID names one attempt to the backend server.
+// requestID returns the ID of one attempt for the backend server.
 func requestID(r *wire.RunRequest) string {
 	return r.GetWorkspace() + "/" + r.GetKey() + "/" + strconv.Itoa(int(r.GetAttempt()))
 }
 
-// checkEcho refuses an answer that names another request.
+// checkEcho returns an error if the response names another request.
 func checkEcho(resp *http.Response, r *wire.RunRequest) error {
 	if echo := resp.Header.Get(headerRequestID); echo != "" && echo != requestID(r) {
-		return badAnswer("the answer names another request")
+		return badResponse("the answer names another request")
 	}
 	return nil
 }
 
-func badAnswer(detail string) error {
-	return sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonBadAnswer, detail, time.Now().Add(retrySoon))
+func badResponse(detail string) error {
+	return sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonBadAnswer, detail, time.Now().Add(shortRetryDelay))
 }
 
-// refusedByServer turns the statuses by which a backend server declares that
-// it did not start the request.
-func refusedByServer(resp *http.Response) error {
+// serverRefusal returns a refusal for the statuses by which a backend server
+// declares that it did not start the request.
+func serverRefusal(resp *http.Response) error {
 	if resp.StatusCode != http.StatusTooManyRequests && resp.StatusCode != http.StatusServiceUnavailable {
 		return nil
 	}
-	return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonBusy, "the backend server refused: "+resp.Status, time.Now().Add(retrySoon))
+	return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonBusy, "the backend server refused: "+resp.Status, time.Now().Add(shortRetryDelay))
 }
 
-// relayService passes a plain service's answer on as it is, once it is whole.
+// relayService relays a plain service's response unchanged, once it is complete.
 func relayService(x *run, r *wire.RunRequest, resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
 	if err := checkEcho(resp, r); err != nil {
 		return 0, err
@@ -219,101 +219,102 @@
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	if len(data) > maxAnswerBytes {
-		return 0, badAnswer("the answer is too large")
+	if len(data) > maxResponseBytes {
+		return 0, badResponse("the answer is too large")
 	}
-	x.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
+	x.setHead(resp.StatusCode, resp.Header.Get("Content-Type"))
 	x.write(data)
 	return sumachead.Tokens(r.GetFlatCost()), nil
 }
 
-// relay takes server-sent events in as they come. The answer is whole when it
-// ended with its mark, after a usage report, under one id.
-func (s *streamCheck) relay(resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
+// relay reads server-sent events as they arrive. The response is complete if all
+// events have the same ID and it ends with the end marker, after a usage report.
+func (s *streamParser) relay(resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
 	lines := bufio.NewReaderSize(body, readBuffer)
 	var event []byte
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return s.tokens(), errors.Join(errBroken, err)
+			return s.tokens(), errors.Join(errStreamInterrupted, err)
 		}
 		event = append(event, line...)
 		if len(bytes.TrimSpace(line)) > 0 {
-			if err := s.line(line); err != nil {
+			if err := s.parseLine(line); err != nil {
 				return s.tokens(), err
 			}
 			continue
 		}
-		if s.ended && s.usage == nil {
-			return s.tokens(), badAnswer("the stream has no usage")
+		if s.endSeen && s.usage == nil {
+			return s.tokens(), badResponse("the stream has no usage")
 		}
 		s.sink.event(resp, event)
-		if s.ended {
+		if s.endSeen {
 			return s.tokens(), nil
 		}
 		event = event[:0]
 	}
 }
 
-// eventSink takes a stream in.
+// eventSink receives the events of a stream.
 type eventSink interface {
 	// chunk is called for the data of each event, in order.
-	chunk(m *modelAnswer) error
-	// event is called with each whole event as it came.
+	chunk(m *modelResponse) error
+	// event is called with the raw bytes of each complete event.
 	event(resp *http.Response, raw []byte)
 }
 
-// passOn is the sink that passes events on as they come.
-type passOn struct {
+// forwarder is the sink that forwards events as they arrive.
+type forwarder struct {
 	run   *run
 	begun bool
 }
 
-func (p *passOn) chunk(*modelAnswer) error { return nil }
+func (p *forwarder) chunk(*modelResponse) error { return nil }
 
-func (p *passOn) event(resp *http.Response, raw []byte) {
+func (p *forwarder) event(resp *http.Response, raw []byte) {
 	if !p.begun {
-		p.run.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
+		p.run.setHead(resp.StatusCode, resp.Header.Get("Content-Type"))
 		p.begun = true
 	}
 	p.run.write(raw)
 }
 
-// streamCheck follows a stream's events.
-type streamCheck struct {
+// streamParser parses and validates the events of a stream.
+type streamParser struct {
 	sink  eventSink
 	id    string
 	usage *usage
-	// chunks counts the events that carry text: at least one token each.
-	chunks int64
-	ended  bool
+	// chunks counts the events that carry text: at least one token each, the
+	// position from which a stream is resumed.
+	chunks  int64
+	endSeen bool
 }
 
 const (
 	eventPrefix = "data:"
-	endMark     = "[DONE]"
+	endMarker   = "[DONE]"
 )
 
-// line takes in one line of an event.
-func (s *streamCheck) line(line []byte) error {
+// parseLine parses one line of an event.
+func (s *streamParser) parseLine(line []byte) error {
 	data, ok := bytes.CutPrefix(line, []byte(eventPrefix))
 	if !ok {
 		return nil
 	}
 	data = bytes.TrimSpace(data)
-	if string(data) == endMark {
-		s.ended = true
+	if string(data) == endMarker {
+		s.endSeen = true
 		return nil
 	}
-	var m modelAnswer
+	var m modelResponse
 	if err := json.Unmarshal(data, &m); err != nil {
-		return badAnswer("an event of the stream is not JSON")
+		return badResponse("an event of the stream is not JSON")
 	}
 	if s.id == "" {
 		s.id = m.ID
 	}
 	if m.ID != s.id {
-		return badAnswer("the stream changed to another answer")
+		return badResponse("the stream changed to another answer")
 	}
 	if m.Usage != nil {
 		s.usage = m.Usage
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,11 +1,11 @@
-// Package agent is the role beside each backend server: the last gate before
-// it.
+// Package agent implements the agent role: the sidecar of each backend server,
+// which makes the final admission decision.
 //
-// An [Agent] takes [wire.RunRequest] calls from routers, refuses as "not run"
-// what must not start (fenced, leaving, stale settings, no room), lets the rest
-// wait by priority for one of the server's slots, relays it, and counts usage.
-// A router reads the answer by offset, so that another router can go on after
-// the first has died; a finished answer is kept for retries for a bounded time
-// and size. A request that was refused here stays refused: a late copy of the
-// same attempt never runs.
+// An [Agent] accepts [wire.RunRequest] calls from routers, refuses as "not run"
+// requests that must not start (fenced, leaving, stale settings, queue full),
+// queues the others by priority for one of the server's slots, relays them, and
+// counts usage. A router reads the response by offset, so that another router can
+// continue after the first has crashed. A finished response is retained for
+// retries, with bounds on time and size. A request that was refused here stays
+// refused: a late duplicate of the same attempt never runs.
 package agent
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -6,28 +6,27 @@
 )
 
 const (
-	// suspectPart is the part of a pool's stuck_after, one in so many, for which
-	// a busy server may bring nothing at all before new work goes elsewhere.
-	suspectPart = 2
-	// firstRest and longestRest bound how long a server that was found stuck
-	// gets no work; the time doubles until an answer is whole again.
-	firstRest   = time.Second
-	longestRest = 30 * time.Second
+	// silenceDivisor divides a pool's stuck_after: a busy server that sends nothing
+	// for that fraction of it gets no new requests.
+	silenceDivisor = 2
+	// minStuckBackoff and maxStuckBackoff are the bounds of the backoff of a stuck server.
+	// It doubles each time until a response completes.
+	minStuckBackoff = time.Second
+	maxStuckBackoff = 30 * time.Second
 )
 
-// health judges the backend server by the bytes that it sends, over all
-// requests: one that is stuck is found by missing tokens, not by a time-out on
-// the whole answer.
+// health detects a stuck backend server by the bytes that it sends, over all
+// requests: by missing tokens rather than by a timeout of the complete response.
 type health struct {
-	mu       sync.Mutex // guards the fields below
-	running  int
-	lastByte time.Time
-	rest     time.Duration
-	restTo   time.Time
+	mu           sync.Mutex // guards the fields below
+	running      int
+	lastByte     time.Time
+	backoff      time.Duration
+	backoffUntil time.Time
 }
 
-// began notes that a request was sent to the server.
-func (h *health) began(now time.Time) {
+// requestStarted records that a request was sent to the server.
+func (h *health) requestStarted(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.running == 0 {
@@ -36,42 +35,43 @@
 	h.running++
 }
 
-// ended notes a request's end.
-func (h *health) ended(whole bool) {
+// requestEnded records the end of a request, and whether its response was complete.
+func (h *health) requestEnded(complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.running--
-	if whole {
-		h.rest, h.restTo = 0, time.Time{}
+	if complete {
+		h.backoff, h.backoffUntil = 0, time.Time{}
 	}
 }
 
-// heard notes that the server sent something.
-func (h *health) heard(now time.Time) {
+// dataReceived records that the server sent something.
+func (h *health) dataReceived(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lastByte = now
 }
 
-// stuck notes that a request was given up for want of bytes. Requests that were
-// stuck together count once.
-func (h *health) stuck(now time.Time) {
+// requestStuck records that a request was cancelled because no bytes arrived. Requests
+// that get stuck during a backoff do not extend it.
+func (h *health) requestStuck(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now.Before(h.restTo) {
+	if now.Before(h.backoffUntil) {
 		return
 	}
-	h.rest = min(max(2*h.rest, firstRest), longestRest)
-	h.restTo = now.Add(h.rest)
+	h.backoff = min(max(2*h.backoff, minStuckBackoff), maxStuckBackoff)
+	h.backoffUntil = now.Add(h.backoff)
 }
 
-// suspect reports whether new work should go elsewhere, and until when.
-func (h *health) suspect(stuckAfter time.Duration, now time.Time) (until time.Time, yes bool) {
+// presumedStuck reports whether the server is presumed stuck and should get no new
+// requests, and until when.
+func (h *health) presumedStuck(stuckAfter time.Duration, now time.Time) (until time.Time, yes bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now.Before(h.restTo) {
-		return h.restTo, true
+	if now.Before(h.backoffUntil) {
+		return h.backoffUntil, true
 	}
-	silent := stuckAfter / suspectPart
+	silent := stuckAfter / silenceDivisor
 	return now.Add(silent), h.running > 0 && now.Sub(h.lastByte) > silent
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -7,13 +7,13 @@
 	"sumachead/internal/telemetry"
 )
 
-// metrics are an agent's counters.
+// metrics holds the metrics of an agent.
 type metrics struct {
-	registry *prometheus.Registry
-	refusals *prometheus.CounterVec
-	done     prometheus.Counter
-	// rests counts answers by which the backend server asked for rest.
-	rests prometheus.Counter
+	registry  *prometheus.Registry
+	refusals  *prometheus.CounterVec
+	responses prometheus.Counter
+	// backoffs counts responses in which the backend server requested a backoff.
+	backoffs prometheus.Counter
 }
 
 func newMetrics() *metrics {
@@ -22,17 +22,17 @@
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sumachead_agent_refusals_total", Help: "Requests that were refused or failed, by reason.",
 		}, []string{"reason"}),
-		done: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "sumachead_agent_answers_total", Help: "Whole answers.",
+		responses: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "sumachead_agent_answers_total", Help: "Complete responses.",
 		}),
-		rests: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "sumachead_agent_rests_total", Help: "Answers by which the backend server asked to be sent nothing for a time.",
+		backoffs: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "sumachead_agent_rests_total", Help: "Responses in which the backend server requested a backoff.",
 		}),
 	}
 	for _, r := range sumachead.Reasons() {
 		m.refusals.WithLabelValues(string(r))
 	}
-	m.registry.MustRegister(m.refusals, m.done, m.rests)
+	m.registry.MustRegister(m.refusals, m.responses, m.backoffs)
 	return m
 }
 
--- a/internal/agent/model.go
+++ b/internal/agent/model.go
@@ -14,14 +14,15 @@
 	"sumachead/internal/settings"
 )
 
-// usage is the part of a model answer that counts.
+// usage is the token usage that a model response reports.
 type usage struct {
 	Prompt     int64 `json:"prompt_tokens"`
 	Completion int64 `json:"completion_tokens"`
 }
 
-// modelAnswer is what the agent looks at in an answer or a chunk of one.
-type modelAnswer struct {
+// modelResponse holds the members of a response, or of a chunk of one, that the
+// agent reads.
+type modelResponse struct {
 	ID      string           `json:"id"`
 	Created int64            `json:"created,omitzero"`
 	Model   string           `json:"model,omitzero"`
@@ -36,34 +37,34 @@
 	return sumachead.Tokens(u.Prompt + u.Completion)
 }
 
-// silentUntilDone reports whether an answer comes in one piece, so that nothing
-// shows whether it is stuck: it may take as long as the deadline allows.
-func silentUntilDone(r *wire.RunRequest, pool *settings.ResolvedPool) bool {
+// respondsInOnePiece reports whether the response arrives in one piece. Such a
+// request can't be detected as stuck and may take as long as its deadline allows.
+func respondsInOnePiece(r *wire.RunRequest, pool *settings.ResolvedPool) bool {
 	return pool.Kind == settings.ModelPool && !r.GetStream() && !r.GetAssemble()
 }
 
-// modelRelay takes one model answer in, over one exchange or, when a stream
-// broke off and is resumed, over two.
+// modelRelay relays one model response, over one exchange or, if a stream was
+// interrupted and resumed, over two.
 type modelRelay struct {
-	run     *run
-	request *wire.RunRequest
-	stream  *streamCheck
-	whole   *assembly
+	run       *run
+	request   *wire.RunRequest
+	stream    *streamParser
+	assembler *assembler
 }
 
 func newModelRelay(x *run, r *wire.RunRequest) *modelRelay {
-	m := &modelRelay{run: x, request: r, whole: &assembly{}}
-	m.stream = &streamCheck{sink: &passOn{run: x}}
+	m := &modelRelay{run: x, request: r, assembler: &assembler{}}
+	m.stream = &streamParser{sink: &forwarder{run: x}}
 	if r.GetAssemble() {
-		m.stream.sink = m.whole
+		m.stream.sink = m.assembler
 	}
 	return m
 }
 
-// take takes in what one exchange brings.
-func (m *modelRelay) take(resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
+// handleResponse handles the response of one exchange.
+func (m *modelRelay) handleResponse(resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
 	x, r := m.run, m.request
-	if err := refusedByServer(resp); err != nil {
+	if err := serverRefusal(resp); err != nil {
 		return 0, err
 	}
 	if err := checkEcho(resp, r); err != nil {
@@ -73,7 +74,7 @@
 		return relayRejected(x, resp, body)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return 0, sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonServerFailed, "the backend server answered "+resp.Status, time.Now().Add(retrySoon))
+		return 0, sumachead.Refuse(sumachead.MayHaveRun, sumachead.ReasonServerFailed, "the backend server answered "+resp.Status, time.Now().Add(shortRetryDelay))
 	}
 	switch {
 	case r.GetAssemble():
@@ -81,40 +82,40 @@
 	case r.GetStream():
 		return m.stream.relay(resp, body)
 	}
-	return relayWhole(x, resp, body)
+	return relayUnstreamed(x, resp, body)
 }
 
-// relayRejected passes on that the engine finds fault with the request: a
-// whole answer that used no tokens.
+// relayRejected relays the response of an engine that rejects the request as
+// invalid: a complete response that used no tokens.
 func relayRejected(x *run, resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	x.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
+	x.setHead(resp.StatusCode, resp.Header.Get("Content-Type"))
 	x.write(data)
 	return 0, nil
 }
 
-func relayWhole(x *run, resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
+func relayUnstreamed(x *run, resp *http.Response, body io.Reader) (sumachead.Tokens, error) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	var m modelAnswer
-	if err := json.Unmarshal(data, &m); err != nil || len(data) > maxAnswerBytes {
-		return 0, badAnswer("the answer is not whole JSON of a fair size")
+	var m modelResponse
+	if err := json.Unmarshal(data, &m); err != nil || len(data) > maxResponseBytes {
+		return 0, badResponse("the answer is not whole JSON of a fair size")
 	}
 	if m.Usage == nil {
-		return 0, badAnswer("the answer has no usage")
+		return 0, badResponse("the answer has no usage")
 	}
-	x.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
+	x.setHead(resp.StatusCode, resp.Header.Get("Content-Type"))
 	x.write(data)
 	return m.Usage.tokens(), nil
 }
 
-// tokens returns what is known to have been used.
-func (s *streamCheck) tokens() sumachead.Tokens {
+// tokens returns the number of tokens known to have been used.
+func (s *streamParser) tokens() sumachead.Tokens {
 	if s.usage != nil {
 		return s.usage.tokens()
 	}
--- a/internal/agent/queue.go
+++ b/internal/agent/queue.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	// queuePerSlot bounds what waits, in requests for each slot.
+	// queuePerSlot is the maximum number of waiting requests per slot.
 	queuePerSlot = 4
-	// firstServiceTime is assumed until a request has finished.
-	firstServiceTime = 200 * time.Millisecond
-	// urgentShare is the part of the slots, one in so many, that only urgent
-	// requests get while there are any about.
-	urgentShare = 8
-	// leastShared is the least number of slots from which one is kept back.
-	leastShared = 4
-	// urgentMemory is for how long an urgent request counts as being about.
-	urgentMemory = 30 * time.Second
+	// defaultServiceTime is the assumed service time until a request has finished.
+	defaultServiceTime = 200 * time.Millisecond
+	// urgentSlotDivisor divides the slots: that fraction of them is reserved for urgent
+	// requests while urgent requests arrive.
+	urgentSlotDivisor = 8
+	// minSlotsToReserve is the minimum number of slots of which any is reserved.
+	minSlotsToReserve = 4
+	// urgentWindow is how long slots stay reserved after an urgent request arrived.
+	urgentWindow = 30 * time.Second
 	// averageWeight is the weight of the newest value in moving averages.
 	averageWeight = 0.1
 )
 
-// ticket is one request's place in the queue.
+// ticket is the entry of one request in the queue.
 type ticket struct {
 	priority sumachead.Priority
-	// admitted is closed when a slot is given; shed when the place is lost to
-	// a more urgent request.
+	// admitted is closed when the request gets a slot, shed when it is dropped
+	// from the queue.
 	admitted chan struct{}
 	shed     chan struct{}
 }
 
-// queue gives out the server's slots by priority, first come first served
-// within one.
+// queue assigns the server's slots by priority, and in order of arrival within a
+// priority.
 type queue struct {
-	mu      sync.Mutex // guards the fields below
-	slots   int
-	running int
-	waiting []*ticket // by priority, then by arrival
-	service time.Duration
-	// urgentAt is when the last urgent request came.
-	urgentAt time.Time
+	mu             sync.Mutex // guards the fields below
+	slots          int
+	running        int
+	waiting        []*ticket // by priority, then by arrival
+	avgServiceTime time.Duration
+	// lastUrgentAt is when the last urgent request arrived.
+	lastUrgentAt time.Time
 }
 
-// enter takes a place. It returns nil when there is no room; then retryAt is
-// when room is to be expected.
-func (q *queue) enter(p sumachead.Priority, now time.Time) (t *ticket, retryAt time.Time) {
+// enqueue adds a request. It returns nil if the queue is full; retryAt is then when
+// the queue is expected to accept a request.
+func (q *queue) enqueue(p sumachead.Priority, now time.Time) (t *ticket, retryAt time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	t = &ticket{priority: p, admitted: make(chan struct{}), shed: make(chan struct{})}
 	if p == sumachead.PriorityUrgent {
-		q.urgentAt = now
+		q.lastUrgentAt = now
 	}
 	if q.running < q.limit(p, now) && len(q.waiting) == 0 || q.overtakes(p) {
 		q.running++
@@ -59,27 +59,29 @@
 		return t, time.Time{}
 	}
 	if len(q.waiting) >= q.slots*queuePerSlot && !q.shedBelow(p) {
-		return nil, now.Add(q.waitLocked())
+		return nil, now.Add(q.estimateWaitLocked())
 	}
 	q.insert(t)
 	return t, time.Time{}
 }
 
-// limit returns how many requests may run before one of a priority must wait.
+// limit returns the maximum number of running requests at which a request of the
+// priority may still start.
 func (q *queue) limit(p sumachead.Priority, now time.Time) int {
-	if p == sumachead.PriorityUrgent || q.slots < leastShared || now.Sub(q.urgentAt) > urgentMemory {
+	if p == sumachead.PriorityUrgent || q.slots < minSlotsToReserve || now.Sub(q.lastUrgentAt) > urgentWindow {
 		return q.slots
 	}
-	return q.slots - max(q.slots/urgentShare, 1)
+	return q.slots - max(q.slots/urgentSlotDivisor, 1)
 }
 
-// overtakes reports whether an urgent request may take a slot that is free
-// although less urgent ones wait.
+// overtakes reports whether an urgent request may take a free slot although less
+// urgent requests wait.
 func (q *queue) overtakes(p sumachead.Priority) bool {
 	return p == sumachead.PriorityUrgent && q.running < q.slots && (len(q.waiting) == 0 || q.waiting[0].priority < p)
 }
 
-// shedBelow drops the newest of the least urgent, if less urgent than p.
+// shedBelow drops the newest of the least urgent waiting requests if it is less
+// urgent than p.
 func (q *queue) shedBelow(p sumachead.Priority) bool {
 	if len(q.waiting) == 0 {
 		return false
@@ -93,7 +95,8 @@
 	return true
 }
 
-// shedAll drops all that wait: the server is stuck, others may not be.
+// shedAll drops all waiting requests of a stuck server. Other servers may run
+// them.
 func (q *queue) shedAll() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -113,8 +116,8 @@
 	q.waiting[i] = t
 }
 
-// leave gives up a place that was not admitted; it reports whether t waited.
-func (q *queue) leave(t *ticket) bool {
+// remove removes a waiting request; it reports whether t was waiting.
+func (q *queue) remove(t *ticket) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, w := range q.waiting {
@@ -126,15 +129,15 @@
 	return false
 }
 
-// release gives a slot back after a request that took so long.
+// release frees a slot after a request with the given service time.
 func (q *queue) release(took time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
-	if q.service == 0 {
-		q.service = took
+	if q.avgServiceTime == 0 {
+		q.avgServiceTime = took
 	}
-	q.service += time.Duration(averageWeight * float64(took-q.service))
+	q.avgServiceTime += time.Duration(averageWeight * float64(took-q.avgServiceTime))
 	q.admitLocked()
 }
 
@@ -148,7 +151,7 @@
 	}
 }
 
-// setSlots takes in the number of slots from the settings.
+// setSlots sets the number of slots and admits waiting requests to new ones.
 func (q *queue) setSlots(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -156,11 +159,11 @@
 	q.admitLocked()
 }
 
-// waitLocked estimates how long a newcomer would wait.
-func (q *queue) waitLocked() time.Duration {
-	service := q.service
+// estimateWaitLocked estimates how long a new request would wait.
+func (q *queue) estimateWaitLocked() time.Duration {
+	service := q.avgServiceTime
 	if service == 0 {
-		service = firstServiceTime
+		service = defaultServiceTime
 	}
 	if q.slots == 0 {
 		return service
@@ -168,7 +171,7 @@
 	return service * time.Duration(len(q.waiting)+q.slots) / time.Duration(q.slots)
 }
 
-// load returns what runs, what waits, and the slots.
+// load returns the numbers of running requests, waiting requests and slots.
 func (q *queue) load() (running, waiting, slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/agent/retain.go
+++ b/internal/agent/retain.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// retained is an ended run as the sweep sees it.
+// retained is the snapshot of a finished and settled run for the sweep.
 type retained struct {
 	run      *run
 	endedAt  time.Time
@@ -13,13 +13,14 @@
 	bytes    int64
 }
 
-// runOverhead is what a record costs beside its answer.
+// runOverhead is the estimated memory of a run in bytes, without its response.
 const runOverhead = 512
 
-// sweep drops the answers of ended runs that are old, and the oldest where
-// they take too much memory. An answer whose outcome the ledger may lack is
-// kept. The record itself stays until the request's deadline has passed: until
-// then a late copy of the request could still arrive and must not run again.
+// sweep drops the responses of finished runs after their retention, and the
+// oldest ones while all take too much memory. It keeps responses whose outcome
+// the ledger may not have. The run itself stays until the request's deadline has
+// passed: until then a late duplicate of the request could arrive and must not
+// run again.
 func (t *runTable) sweep(now time.Time) {
 	var ended []retained
 	total := int64(0)
@@ -31,16 +32,16 @@
 	})
 	slices.SortFunc(ended, func(a, b retained) int { return a.endedAt.Compare(b.endedAt) })
 	for _, x := range ended {
-		old := now.Sub(x.endedAt) >= retainFor
+		old := now.Sub(x.endedAt) >= retention
 		if total <= t.maxBytes && !old {
 			return
 		}
 		total -= x.bytes
 		if now.After(x.deadline) {
-			t.forget(x.run)
+			t.remove(x.run)
 			continue
 		}
-		x.run.dropAnswer()
+		x.run.dropResponse()
 	}
 }
 
@@ -54,15 +55,16 @@
 	return retained{r, r.endedAt, time.Unix(0, r.request.GetDeadlineUnixNano()), size}, true
 }
 
-// dropAnswer forgets all but that the run took place.
-func (r *run) dropAnswer() {
+// dropResponse drops the response and the request's body. The record that the
+// request ran stays.
+func (r *run) dropResponse() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.data, r.gone = nil, true
+	r.data, r.dropped = nil, true
 	r.request.Body = nil
 }
 
-func (t *runTable) forget(r *run) {
+func (t *runTable) remove(r *run) {
 	s := t.shard(r.key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// retainFor is how long a finished answer, or a refusal, is kept.
-	retainFor = 10 * time.Minute
-	// maxChunkBytes bounds what one read returns.
+	// retention is how long a finished response, or a refusal, is retained.
+	retention = 10 * time.Minute
+	// maxChunkBytes is the maximum size of the data that one read returns.
 	maxChunkBytes = 64 << 10
 	runShards     = 32
 )
@@ -24,10 +24,10 @@
 	key       string
 }
 
-// run is the record of one request at this agent.
+// run is the state of one request at this agent, with the response so far.
 type run struct {
 	key runKey
-	// cancel ends the relaying.
+	// cancel stops the relaying.
 	cancel context.CancelFunc
 
 	mu      sync.Mutex // guards the fields below
@@ -38,10 +38,10 @@
 	data    []byte
 	end     *wire.AnswerEnd
 	endedAt time.Time
-	// settled: the ledger is known to have the outcome.
+	// settled is set once the ledger is known to have the outcome.
 	settled bool
-	// gone: the answer was dropped for want of room.
-	gone    bool
+	// dropped is set once the response was dropped by the sweep.
+	dropped bool
 	changed chan struct{}
 }
 
@@ -49,8 +49,8 @@
 	return &run{key: k, request: r, attempt: r.GetAttempt(), queued: true, changed: make(chan struct{}), cancel: func() {}}
 }
 
-// wake tells the readers that something changed. The caller holds mu.
-func (r *run) wake() {
+// notifyReaders notifies the readers of a change. The caller holds mu.
+func (r *run) notifyReaders() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -60,26 +60,27 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.queued = false
-	r.wake()
+	r.notifyReaders()
 }
 
-// begin notes the answer's head.
-func (r *run) begin(status int, contentType string) {
+// setHead sets the status and content type of the response.
+func (r *run) setHead(status int, contentType string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.head = &wire.AnswerHead{Status: int32(status), ContentType: contentType}
-	r.wake()
+	r.notifyReaders()
 }
 
-// write appends to the answer.
+// write appends to the response.
 func (r *run) write(b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.data = append(r.data, b...)
-	r.wake()
+	r.notifyReaders()
 }
 
-// finish ends the run. A run ends once; it reports whether this call did it.
+// finish ends the run. It reports whether this call ended it: only the first one
+// does.
 func (r *run) finish(tokens sumachead.Tokens, refusal *sumachead.Refusal) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,23 +98,23 @@
 		}
 	}
 	r.endedAt = time.Now()
-	// What is kept for retries takes no more room than it needs.
+	// Retained data must not occupy unused capacity.
 	r.data = append(make([]byte, 0, len(r.data)), r.data...)
 	r.request.Body = nil
-	r.wake()
+	r.notifyReaders()
 	return true
 }
 
-// restartable reports whether a newer attempt may run again what ended here.
+// mayRunAgain reports whether a newer attempt may run the finished request again.
 // The caller holds mu.
-func (r *run) restartable() bool {
+func (r *run) mayRunAgain() bool {
 	if r.end == nil || r.end.GetReason() == "" {
 		return false
 	}
 	return r.end.GetVerdict() == string(sumachead.NotRun) || !r.request.GetNotRepeatable()
 }
 
-// read returns what follows offset, waiting for it until ctx ends.
+// read returns the data after offset. It waits for data until ctx is done.
 func (r *run) read(ctx context.Context, offset int64) *wire.ReadReply {
 	for {
 		r.mu.Lock()
@@ -130,12 +131,12 @@
 	}
 }
 
-// peek returns what follows offset now. The caller holds mu.
+// peek returns the data after offset without waiting. The caller holds mu.
 func (r *run) peek(offset int64) *wire.ReadReply {
 	reply := &wire.ReadReply{
 		Code: wire.RunCode_RUN_CODE_ACCEPTED, Offset: offset, Head: r.head, Attempt: r.attempt, Queued: r.queued,
 	}
-	if r.gone {
+	if r.dropped {
 		reply.Code = wire.RunCode_RUN_CODE_GONE
 		return reply
 	}
@@ -181,8 +182,8 @@
 	return s.runs[k]
 }
 
-// put stores a new run unless the key has one that decide keeps. It returns
-// the run that is stored then and whether it is the new one.
+// put stores a new run unless its key has a run that replaces rejects. It returns
+// the stored run and whether it is the new one.
 func (t *runTable) put(fresh *run, replaces func(old *run) bool) (*run, bool) {
 	s := t.shard(fresh.key)
 	s.mu.Lock()
@@ -213,12 +214,13 @@
 	return out
 }
 
-// active counts the runs that have not ended.
+// active returns the number of runs that have not finished.
 func (t *runTable) active() int {
 	return t.count(func(r *run) bool { return r.end == nil })
 }
 
-// unsettled counts the ended runs whose outcome the ledger may not have.
+// unsettled returns the number of finished runs whose outcome the ledger may not
+// have.
 func (t *runTable) unsettled() int {
 	return t.count(func(r *run) bool { return r.end != nil && !r.settled })
 }
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// maxReadWait bounds how long a read is held.
-	maxReadWait = 2 * time.Second
-	// retrySoon is when to come back after a refusal that another server, or
-	// the same one a little later, need not repeat.
-	retrySoon = 500 * time.Millisecond
+	// maxLongPollWait is the maximum long poll time of a read.
+	maxLongPollWait = 2 * time.Second
+	// shortRetryDelay is the retry delay after a refusal for a condition that may pass
+	// quickly or that other servers may not have.
+	shortRetryDelay = 500 * time.Millisecond
 )
 
-// service takes the calls of routers.
+// service implements the RPC methods that routers call.
 type service struct{ agent *Agent }
 
-// Hello tells who answers at this address, and its load.
+// Hello returns the identity of this agent process, and its load.
 func (s *service) Hello(_ *wire.HelloRequest, reply *wire.HelloReply) error {
 	reply.Node, reply.Boot, reply.Load = string(s.agent.Config.Node), string(s.agent.boot), s.agent.load()
 	return nil
 }
 
-// Run starts a request, or attaches to it where this agent knows its key.
+// Run starts a request, or attaches to it if this agent knows its key.
 func (s *service) Run(r *wire.RunRequest, reply *wire.RunReply) error {
 	a := s.agent
 	a.run(r, reply)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Read returns the part of an answer that follows an offset.
+// Read returns the part of a response that follows an offset.
 func (s *service) Read(r *wire.ReadRequest, reply *wire.ReadReply) error {
 	a := s.agent
 	if r.GetBoot() != string(a.boot) {
@@ -46,7 +46,7 @@
 		reply.Code = wire.RunCode_RUN_CODE_NO_RECORD
 		return nil
 	}
-	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, maxReadWait)
+	wait := min(time.Duration(r.GetWaitMillis())*time.Millisecond, maxLongPollWait)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	got := x.read(ctx, r.GetOffset())
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Ack tells that the ledger has the outcome of requests.
+// Ack records that the ledger has the outcomes of requests.
 func (s *service) Ack(r *wire.AckRequest, _ *wire.Empty) error {
 	if r.GetBoot() != string(s.agent.boot) {
 		return nil
@@ -75,7 +75,7 @@
 	r.settled = r.end != nil
 }
 
-// run decides about one call and fills its reply.
+// run handles a Run call and fills its reply.
 func (a *Agent) run(r *wire.RunRequest, reply *wire.RunReply) {
 	if r.GetBoot() != string(a.boot) || r.GetServer() != string(a.Config.Agent.Server) {
 		reply.Code = wire.RunCode_RUN_CODE_WRONG_BOOT
@@ -87,9 +87,9 @@
 		return
 	}
 	fresh := newRun(k, r)
-	x, isNew := a.runs.put(fresh, func(old *run) bool { return old.yieldsTo(r) })
+	x, isNew := a.runs.put(fresh, func(old *run) bool { return old.replaceableBy(r) })
 	if !isNew {
-		x.join(r, reply)
+		x.attachTo(r, reply)
 		return
 	}
 	if refusal := a.admit(x, r); refusal != nil {
@@ -113,23 +113,23 @@
 		reply.Code = wire.RunCode_RUN_CODE_NO_RECORD
 		return
 	}
-	if x.gone {
+	if x.dropped {
 		reply.Code = wire.RunCode_RUN_CODE_GONE
 		return
 	}
 	reply.Code, reply.Attempt = wire.RunCode_RUN_CODE_ACCEPTED, x.attempt
 }
 
-// yieldsTo reports whether an ended run may be replaced by a newer attempt.
-func (r *run) yieldsTo(by *wire.RunRequest) bool {
+// replaceableBy reports whether a finished run may be replaced by a newer attempt.
+func (r *run) replaceableBy(by *wire.RunRequest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return by.GetAttempt() > r.attempt && r.restartable()
+	return by.GetAttempt() > r.attempt && r.mayRunAgain()
 }
 
-// join answers a call whose key is known: the same run serves it, unless it
-// was refused.
-func (r *run) join(by *wire.RunRequest, reply *wire.RunReply) {
+// attachTo fills the reply to a call whose key is known: the existing run serves the
+// call, unless it was refused.
+func (r *run) attachTo(by *wire.RunRequest, reply *wire.RunReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.end.GetVerdict() == string(sumachead.NotRun) {
@@ -137,7 +137,7 @@
 		reply.RetryAfterMillis = r.end.GetRetryAfterMillis()
 		return
 	}
-	if r.gone {
+	if r.dropped {
 		reply.Code = wire.RunCode_RUN_CODE_GONE
 		return
 	}
@@ -152,16 +152,16 @@
 	}
 }
 
-// refusal returns why new work must not start now, or nil. The request is nil
-// when the question is about the agent as such.
+// refusal returns why a new request must not start now, or nil. With a nil
+// request it checks only the state of the agent and its server.
 func (a *Agent) refusal(r *wire.RunRequest, now time.Time) *sumachead.Refusal {
 	refuse := func(reason sumachead.Reason, detail string) *sumachead.Refusal {
-		return sumachead.Refuse(sumachead.NotRun, reason, detail, now.Add(retrySoon))
+		return sumachead.Refuse(sumachead.NotRun, reason, detail, now.Add(shortRetryDelay))
 	}
 	if a.stopping.Load() {
 		return refuse(sumachead.ReasonStopping, "the agent is stopping")
 	}
-	server, pool := a.own(a.follower.View())
+	server, pool := a.ownServer(a.follower.View())
 	if server == nil || pool == nil {
 		return refuse(sumachead.ReasonSettingsStale, "the settings do not have this backend server")
 	}
@@ -171,16 +171,16 @@
 	if server.State == settings.ServerLeaving {
 		return refuse(sumachead.ReasonLeaving, "the backend server is leaving")
 	}
-	if until, yes := a.suspect(now); yes {
+	if until, yes := a.presumedStuck(now); yes {
 		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonStuck, "the backend server seems to be stuck", until)
 	}
 	if r == nil {
 		return nil
 	}
-	if rest := a.rests.Remaining(server.ID); rest > 0 {
+	if rest := a.backoffs.Remaining(server.ID); rest > 0 {
 		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonResting, "the backend server has asked for rest", now.Add(rest))
 	}
-	if !a.holdsEpoch(server.Epoch, sumachead.Epoch(r.GetEpoch())) {
+	if !a.checkEpoch(server.Epoch, sumachead.Epoch(r.GetEpoch())) {
 		return refuse(sumachead.ReasonFenced, "the request comes under an old epoch")
 	}
 	if by := r.GetStartByUnixNano(); by != 0 && now.UnixNano() > by {
@@ -192,17 +192,17 @@
 	return nil
 }
 
-// holdsEpoch notes the epochs seen and reports whether the request's is the
-// highest.
-func (a *Agent) holdsEpoch(inForce, request sumachead.Epoch) bool {
+// checkEpoch records the epochs and reports whether the request's epoch is the
+// highest seen so far.
+func (a *Agent) checkEpoch(inForce, request sumachead.Epoch) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.epoch = max(a.epoch, inForce, request)
 	return request >= a.epoch
 }
 
-// admit checks a new run and gives it a place; a refusal means that it never
-// runs.
+// admit checks a new run and queues it. It returns a refusal if the run will
+// never start.
 func (a *Agent) admit(x *run, r *wire.RunRequest) *sumachead.Refusal {
 	now := time.Now()
 	if f := a.refusal(r, now); f != nil {
@@ -211,7 +211,7 @@
 	if _, _, slots := a.queue.load(); slots == 0 {
 		a.queue.setSlots(a.slots())
 	}
-	t, retryAt := a.queue.enter(sumachead.Priority(r.GetPriority()), now)
+	t, retryAt := a.queue.enqueue(sumachead.Priority(r.GetPriority()), now)
 	if t == nil {
 		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonBusy, "no room in the queue", retryAt)
 	}
@@ -221,17 +221,17 @@
 	return nil
 }
 
-// load returns what is told with every reply.
+// load returns the load that every reply reports.
 func (a *Agent) load() *wire.Load {
 	running, queued, slots := a.queue.load()
 	l := &wire.Load{
 		Server: string(a.Config.Agent.Server), Boot: string(a.boot),
 		Running: uint32(running), Queued: uint32(queued), Slots: uint32(slots),
-		FirstTokenMicros: a.backend.firstToken().Microseconds(),
+		FirstTokenMicros: a.backend.firstByteTime().Microseconds(),
 		Leaving:          a.stopping.Load(),
-		RestMillis:       a.rests.Remaining(a.Config.Agent.Server).Milliseconds(),
+		RestMillis:       a.backoffs.Remaining(a.Config.Agent.Server).Milliseconds(),
 	}
-	_, l.Stuck = a.suspect(time.Now())
+	_, l.Stuck = a.presumedStuck(time.Now())
 	if v := a.follower.View(); v != nil {
 		l.Revision = uint64(v.Revision)
 		if s := v.Server(a.Config.Agent.Server); s != nil && s.State == settings.ServerLeaving {
--- a/internal/agent/settle.go
+++ b/internal/agent/settle.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// settleAfter is how long the router that read an answer has to settle it
-	// before the agent does so itself.
-	settleAfter   = 2 * time.Second
-	settleEvery   = 200 * time.Millisecond
-	settleTimeout = 5 * time.Second
-	settleBatch   = 256
+	// settleAfter is how long the agent waits for the router that read a response
+	// to settle it.
+	settleAfter    = 2 * time.Second
+	settleInterval = 200 * time.Millisecond
+	settleTimeout  = 5 * time.Second
+	settleBatch    = 256
 )
 
-// settleLoop settles ended requests whose router has not: it may have died.
+// settleLoop settles finished requests that their router, which may have crashed,
+// has not settled.
 func (a *Agent) settleLoop(ctx context.Context) error {
-	return loop.Every(ctx, settleEvery, func() { a.settleOverdue(ctx, time.Now()) })
+	return loop.Every(ctx, settleInterval, func() { a.settleOverdue(ctx, time.Now()) })
 }
 
-// overdue is what one account, the ledger's or a hall's, has to be told.
-type overdue struct {
+// overdueBatch holds the unsettled runs of one account: the ledger's or a hall's.
+type overdueBatch struct {
 	runs  []*run
 	batch wire.SettleBatch
 }
 
-// settleOverdue settles a batch at each account. One that is not reached holds
-// up no other.
+// settleOverdue settles a batch at each account, concurrently, so that an
+// unreachable account does not delay the others.
 func (a *Agent) settleOverdue(ctx context.Context, now time.Time) {
-	accounts := make(map[string]*overdue)
+	accounts := make(map[string]*overdueBatch)
 	a.runs.each(func(r *run) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -42,7 +43,7 @@
 		}
 		o := accounts[r.request.GetHall()]
 		if o == nil {
-			o = &overdue{}
+			o = &overdueBatch{}
 			accounts[r.request.GetHall()] = o
 		}
 		if len(o.runs) < settleBatch {
@@ -57,11 +58,11 @@
 	all.Wait()
 }
 
-func (a *Agent) settleAt(ctx context.Context, o *overdue) {
+func (a *Agent) settleAt(ctx context.Context, o *overdueBatch) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	if err := a.keepers.Settle(ctx, &o.batch); err != nil {
-		a.Log.Warn("Settling failed; it is tried again.", "requests", len(o.runs), "error", err)
+		a.Log.Warn("Failed to settle; will retry.", "requests", len(o.runs), "error", err)
 		return
 	}
 	for _, r := range o.runs {
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// watch calls give when nothing has come for a while.
-type watch struct {
-	after time.Duration
-	timer *time.Timer
+// watchdog is a watchdog timer: it calls a function unless it is reset within the
+// timeout.
+type watchdog struct {
+	timeout time.Duration
+	timer   *time.Timer
 }
 
-func newWatch(after time.Duration, give func()) *watch {
-	return &watch{after: after, timer: time.AfterFunc(after, give)}
+func newWatchdog(timeout time.Duration, onTimeout func()) *watchdog {
+	return &watchdog{timeout: timeout, timer: time.AfterFunc(timeout, onTimeout)}
 }
 
-func (w *watch) fed()  { w.timer.Reset(w.after) }
-func (w *watch) stop() { w.timer.Stop() }
+func (w *watchdog) reset() { w.timer.Reset(w.timeout) }
+func (w *watchdog) stop()  { w.timer.Stop() }
 
-// watched is a reader that feeds a watch and notes the first byte.
-type watched struct {
+// watchedReader is a reader that resets a watchdog when data arrives and reports the
+// first byte.
+type watchedReader struct {
 	io.Reader
-	watch  *watch
-	health *health
-	first  func()
-	once   sync.Once
+	watch       *watchdog
+	health      *health
+	onFirstByte func()
+	once        sync.Once
 }
 
 // Read implements io.Reader.
-func (r *watched) Read(p []byte) (int, error) {
+func (r *watchedReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.once.Do(r.first)
-		r.watch.fed()
-		r.health.heard(time.Now())
+		r.once.Do(r.onFirstByte)
+		r.watch.reset()
+		r.health.dataReceived(time.Now())
 	}
 	return n, err
 }
