--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -99,7 +99,7 @@
 	}
 	a.follower = &follower.Follower{
 		Config: a.Config, Boot: a.boot, Pool: a.Pool, Log: a.Log.Named("settings"),
-		Without: []string{settings.KindWorkspaces, settings.KindBudgets, settings.KindTopups, settings.KindBranches},
+		ExcludedKinds: []string{settings.KindWorkspaces, settings.KindBudgets, settings.KindTopups, settings.KindBranches},
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -92,7 +92,7 @@
 	r.retryBudgets = &retryBudgets{}
 	r.follower = &follower.Follower{
 		Config: r.Config, Boot: sumachead.BootID(r.boot), Pool: r.Pool, Log: r.Log.Named("settings"),
-		Without: []string{settings.KindBudgets, settings.KindTopups},
+		ExcludedKinds: []string{settings.KindBudgets, settings.KindTopups},
 	}
 }
 
