--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends a load of many callers to routers and counts what comes
-// back: times as HDR histograms, and outcomes by verdict and reason.
+// Package load is a load generator: it simulates many callers of routers and
+// records response times as HDR histograms and outcomes by verdict and reason.
 package load
 
 import (
@@ -22,15 +22,15 @@
 )
 
 const (
-	// The histograms hold microseconds up to two minutes.
-	histogramMost   = int64(2 * time.Minute / time.Microsecond)
-	histogramDigits = 3
-	maxLine         = 1 << 20
+	// The histograms record up to two minutes, in microseconds.
+	maxRecordedMicros = int64(2 * time.Minute / time.Microsecond)
+	significantDigits = 3
+	maxLineBytes      = 1 << 20
 )
 
-// Plan says what to send. Exported fields are set before Run.
+// Plan describes the load. Set the exported fields before Run.
 type Plan struct {
-	// URLs are routers, or the backend server itself to compare with.
+	// URLs are the base URLs of routers, or of a backend server for comparison.
 	URLs      []string
 	Key       string
 	Model     string
@@ -39,20 +39,20 @@
 	MaxTokens int
 	Stream    bool
 	Priority  string
-	// Prompts is how many different prompt prefixes the callers share; 0
-	// gives each request one of its own.
+	// SharedPrompts is the number of prompt prefixes that the callers share; 0 gives
+	// each request a prefix of its own.
 	Prompts int
-	// Service sends calls to a plain service of this pool instead.
+	// Service is the pool of a plain service to call instead of a model.
 	Service string
-	// NotRepeatable marks the requests.
+	// NonIdempotent marks the requests as non-idempotent.
 	NotRepeatable bool
-	// Rate is the requests a second of all callers; 0 for as fast as they go.
+	// Rate is the requests per second of all callers together; 0 for no limit.
 	Rate   float64
 	Until  time.Time
 	Client *http.Client
 }
 
-// Report is the outcome of a load.
+// Report is the result of a load.
 type Report struct {
 	Requests  int64            `json:"requests"`
 	Answers   int64            `json:"answers"`
@@ -63,7 +63,7 @@
 	Whole     Times            `json:"whole_answer"`
 }
 
-// Times are quantiles in milliseconds.
+// Quantiles holds quantiles of response times in milliseconds.
 type Times struct {
 	Median float64 `json:"median_ms"`
 	P95    float64 `json:"p95_ms"`
@@ -71,43 +71,43 @@
 	Max    float64 `json:"max_ms"`
 }
 
-// runner is a load under way.
+// runner is the state of a running load.
 type runner struct {
 	plan  *Plan
 	began time.Time
 
-	mu       sync.Mutex // guards the fields below
-	first    *hdrhistogram.Histogram
-	whole    *hdrhistogram.Histogram
-	outcomes map[string]int64
-	requests int64
-	answers  int64
-	tokens   int64
+	mu         sync.Mutex // guards the fields below
+	firstToken *hdrhistogram.Histogram
+	complete   *hdrhistogram.Histogram
+	outcomes   map[string]int64
+	requests   int64
+	responses  int64
+	tokens     int64
 }
 
-// Run sends the load until the plan's end or that of ctx.
+// Run sends the load until the end of the plan, or until ctx is done.
 func Run(ctx context.Context, p *Plan) *Report {
 	r := &runner{
 		plan: p, began: time.Now(), outcomes: make(map[string]int64),
-		first: hdrhistogram.New(1, histogramMost, histogramDigits),
-		whole: hdrhistogram.New(1, histogramMost, histogramDigits),
+		firstToken: hdrhistogram.New(1, maxRecordedMicros, significantDigits),
+		complete:   hdrhistogram.New(1, maxRecordedMicros, significantDigits),
 	}
 	ctx, cancel := context.WithDeadline(ctx, p.Until)
 	defer cancel()
 	var callers sync.WaitGroup
 	for i := range p.Callers {
-		callers.Go(func() { r.caller(ctx, i) })
+		callers.Go(func() { r.runCaller(ctx, i) })
 	}
 	callers.Wait()
 	return r.report()
 }
 
-// caller sends one request after another. A request that has begun is
-// finished.
-func (r *runner) caller(ctx context.Context, n int) {
+// runCaller sends one request after another. A request that has begun is finished even
+// after the load has ended.
+func (r *runner) runCaller(ctx context.Context, n int) {
 	var ticks <-chan time.Time
 	if r.plan.Rate > 0 {
-		// The callers begin one after another, so that they do not beat as one.
+		// The starts of the callers are staggered, so that they do not send in bursts.
 		interval := time.Duration(float64(time.Second) * float64(r.plan.Callers) / r.plan.Rate)
 		time.Sleep(interval * time.Duration(n) / time.Duration(r.plan.Callers))
 		t := time.NewTicker(interval)
@@ -122,27 +122,27 @@
 				return
 			}
 		}
-		r.one(n, i)
+		r.sendAndRecord(n, i)
 	}
 }
 
-// outcome is how one request ended.
+// outcome is the result of one request.
 type outcome struct {
-	name   string
-	ok     bool
-	first  time.Duration
-	whole  time.Duration
-	tokens int64
-	pause  time.Duration
+	name       string
+	ok         bool
+	firstToken time.Duration
+	complete   time.Duration
+	tokens     int64
+	retryDelay time.Duration
 }
 
-func (r *runner) one(n, i int) {
+func (r *runner) sendAndRecord(n, i int) {
 	o := r.send(n, i)
-	r.note(o)
-	time.Sleep(o.pause)
+	r.record(o)
+	time.Sleep(o.retryDelay)
 }
 
-func (r *runner) note(o outcome) {
+func (r *runner) record(o outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests++
@@ -150,16 +150,16 @@
 	if !o.ok {
 		return
 	}
-	r.answers++
+	r.responses++
 	r.tokens += o.tokens
-	_ = r.first.RecordValue(min(max(o.first.Microseconds(), 1), histogramMost))
-	_ = r.whole.RecordValue(min(max(o.whole.Microseconds(), 1), histogramMost))
+	_ = r.firstToken.RecordValue(min(max(o.firstToken.Microseconds(), 1), maxRecordedMicros))
+	_ = r.complete.RecordValue(min(max(o.complete.Microseconds(), 1), maxRecordedMicros))
 }
 
 func (r *runner) send(n, i int) outcome {
 	p := r.plan
 	base := strings.TrimSuffix(p.URLs[(n+i)%len(p.URLs)], "/")
-	url, body := base+"/v1/chat/completions", r.chat(n, i)
+	url, body := base+"/v1/chat/completions", r.chatBody(n, i)
 	if p.Service != "" {
 		url, body = base+"/v1/services/"+p.Service+"/holds", []byte(`{"seat":1}`)
 	}
@@ -183,12 +183,12 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return parseRefusal(resp)
 	}
-	return r.read(resp, began)
+	return r.readResponse(resp, began)
 }
 
-func (r *runner) chat(n, i int) []byte {
+func (r *runner) chatBody(n, i int) []byte {
 	p := r.plan
 	prefix := fmt.Sprintf("caller %d request %d ", n, i)
 	if p.Prompts > 0 {
@@ -202,7 +202,7 @@
 	return body
 }
 
-// errorBody is the form of a refusal.
+// errorBody is the JSON body of a refusal.
 type errorBody struct {
 	Error struct {
 		Verdict sumachead.Verdict `json:"verdict"`
@@ -211,52 +211,52 @@
 	} `json:"error"`
 }
 
-// refused reads a refusal; the caller comes back when it is told to, but
-// within the second, so that a load stays a load.
-func refused(resp *http.Response) outcome {
+// parseRefusal reads a refusal. The caller retries at the time that the refusal names, but
+// waits for at most a second, so that the load is kept up.
+func parseRefusal(resp *http.Response) outcome {
 	var e errorBody
 	data, _ := io.ReadAll(resp.Body)
 	if err := json.Unmarshal(data, &e); err != nil || e.Error.Reason == "" {
 		return outcome{name: fmt.Sprintf("status %d", resp.StatusCode)}
 	}
 	pause := min(max(time.Until(e.Error.RetryAt), 0), time.Second)
-	return outcome{name: string(e.Error.Verdict) + " " + string(e.Error.Reason), pause: pause}
+	return outcome{name: string(e.Error.Verdict) + " " + string(e.Error.Reason), retryDelay: pause}
 }
 
-// read takes an answer in and checks that it is whole.
-func (r *runner) read(resp *http.Response, began time.Time) outcome {
+// readResponse reads a response and checks that it is complete.
+func (r *runner) readResponse(resp *http.Response, began time.Time) outcome {
 	o := outcome{name: "incomplete answer"}
 	if !r.plan.Stream || r.plan.Service != "" {
 		data, err := io.ReadAll(resp.Body)
-		o.first = time.Since(began)
-		o.whole = o.first
+		o.firstToken = time.Since(began)
+		o.complete = o.firstToken
 		if err == nil && json.Valid(data) {
-			o.name, o.ok, o.tokens = "answer", true, usageOf(data)
+			o.name, o.ok, o.tokens = "answer", true, totalTokens(data)
 		}
 		return o
 	}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
 			continue
 		}
-		if o.first == 0 {
-			o.first = time.Since(began)
+		if o.firstToken == 0 {
+			o.firstToken = time.Since(began)
 		}
 		if data == "[DONE]" {
-			o.name, o.ok, o.whole = "answer", true, time.Since(began)
+			o.name, o.ok, o.complete = "answer", true, time.Since(began)
 			continue
 		}
-		if n := usageOf([]byte(data)); n > 0 {
+		if n := totalTokens([]byte(data)); n > 0 {
 			o.tokens = n
 		}
 	}
 	return o
 }
 
-func usageOf(data []byte) int64 {
+func totalTokens(data []byte) int64 {
 	if !bytes.Contains(data, []byte(`"usage"`)) {
 		return 0
 	}
@@ -273,13 +273,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return &Report{
-		Requests: r.requests, Answers: r.answers, Tokens: r.tokens, Outcomes: r.outcomes,
-		PerSecond: float64(r.answers) / time.Since(r.began).Seconds(),
-		First:     times(r.first), Whole: times(r.whole),
+		Requests: r.requests, Answers: r.responses, Tokens: r.tokens, Outcomes: r.outcomes,
+		PerSecond: float64(r.responses) / time.Since(r.began).Seconds(),
+		First:     quantiles(r.firstToken), Whole: quantiles(r.complete),
 	}
 }
 
-func times(h *hdrhistogram.Histogram) Times {
+func quantiles(h *hdrhistogram.Histogram) Times {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Times{at(50), at(95), at(99), float64(h.Max()) / 1000}
 }
