--- a/internal/standin/notices.go
+++ b/internal/standin/notices.go
@@ -7,62 +7,61 @@
 	"time"
 )
 
-// What a replica says of itself in its answers.
+// The notices that a replica adds to its responses.
 
-// ReplicaTurned is a request that a replica turned away.
-type ReplicaTurned struct {
+// ReplicaRejection is a request that a replica rejected.
+type ReplicaRejection struct {
 	ID string
 	At time.Time
-	// Rest is for how long the replica then wanted nothing from who had sent it.
+	// Backoff is the backoff that the replica requested from the sender.
 	Rest time.Duration
 }
 
-// TurnAway makes the replica turn away all that comes and ask for a rest with each answer;
-// it ends with a rest of 0.
-func (r *Replica) TurnAway(rest time.Duration) {
+// RejectRequests makes the replica reject all requests and request a backoff with each response. A
+// backoff of 0 ends it.
+func (r *Replica) TurnAway(backoff time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rest = rest
+	r.backoff = backoff
 }
 
-// TurnedAway returns what was turned away, in order.
-func (r *Replica) TurnedAway() []ReplicaTurned {
+// Rejections returns the rejected requests in order.
+func (r *Replica) TurnedAway() []ReplicaRejection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.turned)
+	return slices.Clone(r.rejections)
 }
 
-// SayLeaving makes the replica say in its answers that it leaves, and nothing else: its
-// heartbeats go on to say that it is ready. A later life says nothing of it.
+// AnnounceLeaving makes the replica announce in its responses only that it is leaving: its
+// heartbeats still report it as ready. The next incarnation does not announce it.
 func (r *Replica) SayLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leavingSince = time.Now()
 }
 
-// LeavingSince returns since when the replica's answers say that it leaves; zero where they
-// don't.
+// LeavingSince returns since when the replica's responses announce that it is leaving; zero if
+// they don't.
 func (r *Replica) LeavingSince() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leavingSince
 }
 
-// tell sets what the replica says of itself on an answer, and reports whether the request is
-// turned away with it.
-func (r *Replica) tell(w http.ResponseWriter, id string) (turnedAway bool) {
+// writeNotices adds the replica's notices to a response. It reports whether it has rejected the request.
+func (r *Replica) writeNotices(w http.ResponseWriter, id string) (rejected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.nameLimit(w.Header())
+	r.writeLimit(w.Header())
 	if !r.leavingSince.IsZero() {
 		w.Header().Set("Server-Leaving", "1")
 	}
-	if r.rest == 0 {
+	if r.backoff == 0 {
 		return false
 	}
-	r.turned = append(r.turned, ReplicaTurned{id, time.Now(), r.rest})
+	r.rejections = append(r.rejections, ReplicaRejection{id, time.Now(), r.backoff})
 	const bits = 64
-	w.Header().Set("Retry-After", strconv.FormatFloat(r.rest.Seconds(), 'f', -1, bits))
+	w.Header().Set("Retry-After", strconv.FormatFloat(r.backoff.Seconds(), 'f', -1, bits))
 	w.Header().Set("Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return true
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -10,47 +10,47 @@
 	"sumachead/internal/loop"
 )
 
-// The process of a replica, which may end and start again.
+// The process of a replica, which may crash and restart.
 
 const (
-	// endAfter is how long a process runs a request that ends it: engines were seen to
-	// take 35 to 95 ms.
-	endAfter = 40 * time.Millisecond
-	// backAfter is how long a process takes to start again.
-	backAfter = 600 * time.Millisecond
+	// crashDelay is how long a process runs a request that crashes it: engines take 35 to
+	// 95 ms.
+	crashDelay = 40 * time.Millisecond
+	// restartDelay is how long a crashed process takes to restart.
+	restartDelay = 600 * time.Millisecond
 )
 
-// Run serves and sends heartbeats until ctx ends.
+// Run serves and sends heartbeats until ctx is done.
 func (r *Replica) Run(ctx context.Context) error {
 	r.mu.Lock()
 	r.born = time.Now()
 	r.mu.Unlock()
-	go r.beats(ctx)
+	go r.heartbeatLoop(ctx)
 	for {
 		if err := r.runProcess(ctx); err != nil || ctx.Err() != nil || r.Stopped() {
 			return err
 		}
-		if !r.takeAgain() {
-			if !loop.Sleep(ctx, backAfter) {
+		if !r.takeRestartRequest() {
+			if !loop.Sleep(ctx, restartDelay) {
 				return nil
 			}
-			r.startAgain()
+			r.restart()
 		}
 	}
 }
 
-// takeAgain reports whether the process is to start again at once.
-func (r *Replica) takeAgain() bool {
+// takeRestartRequest reports whether the process must restart at once, and clears that request.
+func (r *Replica) takeRestartRequest() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	again := r.again
-	if again {
-		r.again, r.down = false, false
+	requested := r.restartNow
+	if requested {
+		r.restartNow, r.down = false, false
 	}
-	return again
+	return requested
 }
 
-// runProcess serves until the process ends or ctx does.
+// runProcess serves until the process ends or ctx is done.
 func (r *Replica) runProcess(ctx context.Context) error {
 	lis, err := (&net.ListenConfig{}).Listen(ctx, "tcp", r.Address)
 	if err != nil {
@@ -68,37 +68,38 @@
 	return nil
 }
 
-// EndUnder makes the replica's process end soon after it has begun to run a request whose
-// body begins so, and start again after a while, under another id or the same; empty for
-// never.
+// CrashOn makes the replica's process crash soon after it has begun to run a request whose body
+// has the given prefix, and restart after a delay, under a new ID or the same one. An empty prefix
+// turns this off.
 func (r *Replica) EndUnder(body string, sameID bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.endUnder, r.sameID = body, sameID
+	r.crashPrefix, r.sameID = body, sameID
 }
 
-// end ends the process under a body: its connections break, and nobody takes new ones.
-func (r *Replica) end(body string) {
+// crash crashes the process while it runs a request with the body: its connections are lost and
+// new ones are refused.
+func (r *Replica) crash(body string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
 		return
 	}
-	if r.ends == nil {
-		r.ends = make(map[string]int)
+	if r.crashes == nil {
+		r.crashes = make(map[string]int)
 	}
 	r.down = true
-	r.ends[body]++
-	_ = r.process.Close() // its connections break, as they are meant to
+	r.crashes[body]++
+	_ = r.process.Close() // its connections are meant to break
 }
 
-// startAgain makes the replica another life, or another start under the same id.
-func (r *Replica) startAgain() {
+// restart starts the next incarnation of the replica, under a new ID or the same one.
+func (r *Replica) restart() {
 	r.mu.Lock()
 	sameID := r.sameID
 	r.down = false
 	if sameID {
-		r.startLife()
+		r.resetForRestart()
 	}
 	r.mu.Unlock()
 	if !sameID {
@@ -106,45 +107,44 @@
 	}
 }
 
-// startLife forgets what the replica knew of before. The caller holds mu.
-func (r *Replica) startLife() {
-	r.sequence, r.draining, r.acked, r.born = 0, false, time.Time{}, time.Now()
+// resetForRestart resets the state that a restart loses. The caller holds mu.
+func (r *Replica) resetForRestart() {
+	r.sequence, r.draining, r.drainAckedAt, r.born = 0, false, time.Time{}, time.Now()
 	r.leavingSince = time.Time{}
-	r.starts = append(r.starts, r.born)
+	r.restarts = append(r.restarts, r.born)
 }
 
-// StartUnderID makes the replica start again at once under the id that it has, as a process
-// that was restarted does.
+// RestartSameID restarts the replica at once under its current ID, as a restarted process does.
 func (r *Replica) StartUnderID() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.startLife()
+	r.resetForRestart()
 	if r.process != nil {
-		r.down, r.again = true, true
-		_ = r.process.Close() // its connections break, as they are meant to
+		r.down, r.restartNow = true, true
+		_ = r.process.Close() // its connections are meant to break
 	}
 }
 
-// Stop ends the process at once and for good: its connections break.
+// Stop ends the process at once and permanently: its connections are lost.
 func (r *Replica) Stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down, r.stopped = true, true
 	if r.process != nil {
-		_ = r.process.Close() // its connections break, as they are meant to
+		_ = r.process.Close() // its connections are meant to break
 	}
 }
 
-// Stopped reports whether the process has ended for good.
+// Stopped reports whether the process has ended permanently.
 func (r *Replica) Stopped() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stopped
 }
 
-// Ends returns how often the replica's process ended under a body.
+// CrashCount returns how often the replica's process crashed on a request with the body.
 func (r *Replica) Ends(body string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ends[body]
+	return r.crashes[body]
 }
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// How a replica tells the nodes of itself.
+// The registration of a replica with the nodes.
 
-// beats sends heartbeats until ctx ends.
-func (r *Replica) beats(ctx context.Context) {
+// heartbeatLoop sends heartbeats until ctx is done.
+func (r *Replica) heartbeatLoop(ctx context.Context) {
 	for {
 		if !r.isDown() {
-			r.Beat(ctx)
+			r.SendHeartbeat(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -30,59 +30,59 @@
 	return r.down
 }
 
-// Beat sends one heartbeat; it reports whether some node acknowledged it.
-func (r *Replica) Beat(ctx context.Context) bool {
+// SendHeartbeat sends one heartbeat. It reports whether a node acknowledged it.
+func (r *Replica) SendHeartbeat(ctx context.Context) bool {
 	r.mu.Lock()
 	r.sequence++
 	state, draining := "ready", r.draining
 	if draining {
 		state = "draining"
 	}
-	tells := map[string]any{
+	heartbeat := map[string]any{
 		"backend": r.Service, "address": r.Address, "zone": r.Hall, "slots": replicaSlots, "state": state, "call_seq": r.sequence,
-		"cold_left_ms": r.coldLeft(time.Now()).Milliseconds(),
+		"cold_left_ms": r.coldRemaining(time.Now()).Milliseconds(),
 	}
 	if r.Version != "" {
-		tells["config_version"] = r.Version
+		heartbeat["config_version"] = r.Version
 	}
-	if !r.silentBorn {
-		tells["born"] = r.born.UnixMilli()
+	if !r.hidesStartTime {
+		heartbeat["born"] = r.born.UnixMilli()
 	}
-	body, err := json.Marshal(tells)
-	id, born := r.life(), r.born
+	body, err := json.Marshal(heartbeat)
+	id, born := r.incarnationID(), r.born
 	r.mu.Unlock()
 	if err != nil {
 		return false
 	}
 	ok := r.post(ctx, "/v1/Replicas.Heartbeat/"+id, body)
 	if ok && draining {
-		r.noteDrainAcked(born)
+		r.recordDrainAcked(born)
 	}
 	return ok
 }
 
-// noteDrainAcked notes that leaving was acknowledged to the life that started at a time, unless
-// another one runs by now: that one does not leave.
-func (r *Replica) noteDrainAcked(born time.Time) {
+// recordDrainAcked records that draining was acknowledged to the incarnation that started at born,
+// unless another one runs now, which does not drain.
+func (r *Replica) recordDrainAcked(born time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.born.Equal(born) {
-		r.acked = time.Now()
+		r.drainAckedAt = time.Now()
 	}
 }
 
-// HideBorn makes the replica tell nothing of when it started.
-func (r *Replica) HideBorn() {
+// HideStartTime makes the replica omit its start time from heartbeats.
+func (r *Replica) HideStartTime() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silentBorn = true
+	r.hidesStartTime = true
 }
 
-// Leave tells that the replica is about to end; it reports whether some node
+// Leave announces that the replica is about to stop. It reports whether a node
 // acknowledged it.
 func (r *Replica) Leave(ctx context.Context) bool {
 	r.mu.Lock()
-	id := r.life()
+	id := r.incarnationID()
 	r.mu.Unlock()
 	return r.post(ctx, "/v1/Replicas.Leave/"+id, nil)
 }
@@ -97,7 +97,7 @@
 	return false
 }
 
-// postTo makes one call; it reports whether it was acknowledged.
+// postTo makes one call. It reports whether the call was acknowledged.
 func (r *Replica) postTo(ctx context.Context, url string, body []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -113,18 +113,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Drain announces that the replica leaves; it reports whether that was
-// acknowledged. It goes on serving.
+// Drain announces in a heartbeat that the replica is draining. It reports whether that was
+// acknowledged. The replica still serves requests.
 func (r *Replica) Drain(ctx context.Context) bool {
 	r.mu.Lock()
 	r.draining = true
 	r.mu.Unlock()
-	return r.Beat(ctx)
+	return r.SendHeartbeat(ctx)
 }
 
-// DrainAcked returns when leaving was acknowledged; zero before.
+// DrainAckedAt returns when draining was acknowledged; zero before.
 func (r *Replica) DrainAcked() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.acked
+	return r.drainAckedAt
 }
--- a/internal/standin/register_test.go
+++ b/internal/standin/register_test.go
@@ -6,16 +6,17 @@
 	"testing"
 )
 
-// An acknowledgement that comes late counts for the life that it was sent by.
-func TestLeavingIsAcknowledgedToItsLife(t *testing.T) {
+// A drain acknowledgement that arrives after a restart counts for the incarnation that sent the
+// heartbeat, not for the one that runs now.
+func TestDrainAckCountsForItsIncarnation(t *testing.T) {
 	tests := []struct {
 		name string
-		// meanwhile runs while the heartbeat is under way.
+		// meanwhile runs while the heartbeat is in flight.
 		meanwhile func(*Replica)
 		acked     bool
 	}{
-		{"the life that leaves", func(*Replica) {}, true},
-		{"another one by then", func(r *Replica) { r.StartAnew(0) }, false},
+		{"same incarnation", func(*Replica) {}, true},
+		{"next incarnation runs", func(r *Replica) { r.StartAnew(0) }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -27,7 +28,7 @@
 				t.Fatal("the heartbeat was not acknowledged")
 			}
 			if got := !r.DrainAcked().IsZero(); got != tt.acked {
-				t.Errorf("acknowledged to the life that runs: %t, want %t", got, tt.acked)
+				t.Errorf("drain acknowledged to the running incarnation: %t, want %t", got, tt.acked)
 			}
 		})
 	}
--- a/internal/standin/replica.go
+++ b/internal/standin/replica.go
@@ -13,132 +13,134 @@
 	"sumachead/internal/loop"
 )
 
-// replicaSlots is how many requests a replica says that it works on at a time; it
-// takes more.
+// replicaSlots is the number of slots that a replica reports. It accepts more requests.
 const replicaSlots = 8
 
-// ReplicaFaults are switches of a [Replica]; all are off at the start.
+// ReplicaFaults are the faults that a [Replica] can inject. All are off initially.
+// Scenario scripts set them as JSON objects with the names of the fields.
 type ReplicaFaults struct {
-	// LoseAnswer: requests run, and the connection ends without an answer.
+	// LoseAnswer runs requests, but ends the connection without a response.
 	LoseAnswer bool
-	// BreakAfter: a stream breaks off in the middle of an event after so many.
+	// BreakAfter interrupts a stream within the event that follows this many events.
 	BreakAfter int
-	// Surplus: a whole answer is followed by another that nobody asked for.
+	// Surplus sends an additional, unsolicited response after a complete one.
 	Surplus bool
-	// Refuse: the replica answers that it did not run the request.
+	// Refuse responds that the request was not run.
 	Refuse bool
-	// Hang: the replica takes requests and says nothing.
+	// Hang accepts requests and never responds.
 	Hang bool
-	// BadOneIn: one in so many requests, whose paths begin with BadOn, fails with an answer of
-	// the replica's own, or takes Slower times as long.
+	// BadOneIn makes one in this many requests, chosen at random among those whose path begins
+	// with BadOn, fail with status 500, or take Slower times as long if Slower is set.
 	BadOneIn int
 	BadOn    string
 	Slower   int
 }
 
-// ReplicaRun is what a replica saw of one request.
+// ReplicaRun is a replica's record of one request.
 type ReplicaRun struct {
 	ID        string
 	Workspace string
 	Replica   string
 	At        time.Time
-	// Done is set once the replica no longer works on it.
+	// Done is when the replica finished the request; zero before.
 	Done time.Time
 }
 
-// Replica plays a backend server of the users' platform: it registers by
-// heartbeats, streams events or answers plainly, and records what it ran. Set the
-// exported fields before Run.
+// Replica simulates a backend server of the users' platform: it registers by
+// heartbeats, serves streamed or plain responses, and records the requests that it
+// ran. Set the exported fields before Run.
 type Replica struct {
 	ID      string
 	Service string
 	Hall    string
-	// Version is that of its software; empty where it tells none.
+	// Version is the version that it reports; empty for none.
 	Version string
-	// Address is where it serves, host:port.
+	// Address is the host:port at which it serves.
 	Address string
-	// Control returns the addresses that take heartbeats.
+	// ControlAddresses returns the addresses that accept heartbeats.
 	Control func() []string
-	// Every is the interval between heartbeats.
+	// HeartbeatInterval is the interval between heartbeats.
 	Every time.Duration
-	// EventEvery is the time between events, Work that of a plain answer.
+	// EventInterval is the time between events, ResponseTime that of a plain response.
 	EventEvery time.Duration
 	Work       time.Duration
 
-	mu     sync.Mutex // guards the fields below, and what runs point to
+	mu     sync.Mutex // guards the fields below and the elements of runs
 	faults ReplicaFaults
 	runs   []*ReplicaRun
-	// sequence counts the heartbeats of this life, which started at born.
+	// sequence counts the heartbeats of this incarnation, which started at born.
 	sequence int
 	born     time.Time
 	draining bool
-	// silentBorn: the replica does not tell when it started.
-	silentBorn bool
-	// lives counts the starts after the first, and cold are the times within which the
-	// replica was cold.
-	lives int
-	cold  []coldSpan
-	// starts are those of all lives after the first, oldest first.
-	starts []time.Time
-	// acked is when leaving was acknowledged.
-	acked time.Time
-	// endUnder is how bodies begin under which the process ends, and sameID whether it then
-	// starts again under the id that it had.
-	endUnder string
-	sameID   bool
-	// ends counts the ends of the process by the body; down while it has not started again,
-	// and process is the one that runs.
-	ends    map[string]int
+	// hidesStartTime omits the start time from heartbeats.
+	hidesStartTime bool
+	// newIDCount counts the restarts with a new ID. cold are the times in which the replica
+	// was cold.
+	newIDCount int
+	cold       []coldSpan
+	// restarts are the start times of all incarnations after the first, oldest first.
+	restarts []time.Time
+	// drainAckedAt is when draining was acknowledged.
+	drainAckedAt time.Time
+	// crashPrefix is the prefix of bodies on which the process crashes. sameID is set if it
+	// then restarts under the same ID.
+	crashPrefix string
+	sameID      bool
+	// crashes counts the crashes of the process by request body. down is set until it has
+	// restarted. process is the running server.
+	crashes map[string]int
 	down    bool
 	process *http.Server
-	// again: the process starts again at once; stopped: it never does.
-	again   bool
-	stopped bool
-	// rest is what the replica asks for with each request, which it turns away; 0 for none.
-	// turned are those that it has, and leavingSince is since when its answers say that it
-	// leaves.
-	rest         time.Duration
-	turned       []ReplicaTurned
+	// restartNow is set if the process must restart at once, stopped if it must not restart.
+	restartNow bool
+	stopped    bool
+	// backoff is the backoff that the replica requests while it rejects all requests; 0 if it
+	// accepts them. rejections are the rejected requests. leavingSince is since when its
+	// responses announce that it is leaving.
+	backoff      time.Duration
+	rejections   []ReplicaRejection
 	leavingSince time.Time
-	// limits are the request limits that its answers named, oldest first.
+	// limits are the request limits that its responses reported, oldest first.
 	limits []ReplicaLimit
 }
 
-// coldSpan is a time within which a replica was cold.
+// coldSpan is a time span in which a replica was cold.
 type coldSpan struct{ from, until time.Time }
 
-// StartAnew makes the replica another life with an id of its own, cold for a time.
+// RestartCold starts a new incarnation of the replica with a new ID that is cold for the
+// given time.
 func (r *Replica) StartAnew(cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.lives++
-	r.startLife()
+	r.newIDCount++
+	r.resetForRestart()
 	r.cold = append(r.cold, coldSpan{now, now.Add(cold)})
 }
 
-// life returns the id of the life that runs. The caller holds mu.
-func (r *Replica) life() string {
-	if r.lives == 0 {
+// incarnationID returns the ID of the running incarnation. The caller holds mu.
+func (r *Replica) incarnationID() string {
+	if r.newIDCount == 0 {
 		return r.ID
 	}
-	return fmt.Sprintf("%s-%d", r.ID, r.lives)
+	return fmt.Sprintf("%s-%d", r.ID, r.newIDCount)
 }
 
-// coldLeft returns for how much longer the replica is cold. The caller holds mu.
-func (r *Replica) coldLeft(now time.Time) time.Duration {
+// coldRemaining returns how much longer the replica stays cold. The caller holds mu.
+func (r *Replica) coldRemaining(now time.Time) time.Duration {
 	if len(r.cold) == 0 {
 		return 0
 	}
 	return max(r.cold[len(r.cold)-1].until.Sub(now), 0)
 }
 
-// ColdRuns counts the runs of one life that began in the second up to a time, while the
-// replica was cold all along; 0 for a time at which it was warm.
+// ColdRuns returns the number of runs of one incarnation that began in the second before at
+// while the replica was cold; 0 if it was warm at that time.
 func (r *Replica) ColdRuns(at time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// The newest cold time by then counts: a start without one is warm, and says so.
+	// The latest cold span before at counts: a restart without a cold span is warm and reports
+	// itself as warm.
 	i := len(r.cold) - 1
 	for i >= 0 && r.cold[i].from.After(at) {
 		i--
@@ -146,10 +148,10 @@
 	if i < 0 || at.After(r.cold[i].until) {
 		return 0
 	}
-	// A life that starts while the cold time of the one before goes on is cold from its own
-	// start on, and bears as much as that one did.
+	// An incarnation that starts within the cold span of the previous one is cold from its own
+	// start, with the full allowance of a cold server.
 	from := r.cold[i].from
-	for _, s := range r.starts {
+	for _, s := range r.restarts {
 		if s.After(from) && !s.After(at) {
 			from = s
 		}
@@ -163,14 +165,14 @@
 	return n
 }
 
-// Set switches faults.
+// SetFaults replaces the injected faults.
 func (r *Replica) Set(f ReplicaFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
 }
 
-// Runs returns copies of what was run.
+// Runs returns copies of the records of all requests that were run.
 func (r *Replica) Runs() []ReplicaRun {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,10 +183,10 @@
 	return out
 }
 
-// serve takes a request if it is meant for this life, and records its run.
+// serve handles a request if it is addressed to this incarnation, and records its run.
 func (r *Replica) serve(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
-	f, id, cold, endUnder := r.faults, r.life(), r.coldLeft(time.Now()), r.endUnder
+	f, id, cold, crashPrefix := r.faults, r.incarnationID(), r.coldRemaining(time.Now()), r.crashPrefix
 	r.mu.Unlock()
 	if q.URL.Path == "/health" {
 		w.Header().Set("Served-By", id)
@@ -196,7 +198,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if r.tell(w, q.Header.Get("Request-Id")) {
+	if r.writeNotices(w, q.Header.Get("Request-Id")) {
 		return
 	}
 	if f.Refuse {
@@ -213,31 +215,32 @@
 		defer r.mu.Unlock()
 		run.Done = time.Now()
 	}()
-	if endUnder != "" && r.endsUnder(q, endUnder) {
+	if crashPrefix != "" && r.crashesOn(q, crashPrefix) {
 		return
 	}
-	r.answer(w, q, f)
+	r.respond(w, q, f)
 }
 
-// endsUnder ends the process if a request's body begins so.
-func (r *Replica) endsUnder(q *http.Request, begins string) bool {
+// crashesOn crashes the process if the body of the request has the prefix. It reports
+// whether it did.
+func (r *Replica) crashesOn(q *http.Request, prefix string) bool {
 	body, err := io.ReadAll(q.Body)
-	if err != nil || !strings.HasPrefix(string(body), begins) {
+	if err != nil || !strings.HasPrefix(string(body), prefix) {
 		return false
 	}
-	time.Sleep(endAfter)
-	r.end(string(body))
+	time.Sleep(crashDelay)
+	r.crash(string(body))
 	return true
 }
 
-// answer answers a request as the faults say.
-func (r *Replica) answer(w http.ResponseWriter, q *http.Request, f ReplicaFaults) {
+// respond sends the response to a request, with the faults injected.
+func (r *Replica) respond(w http.ResponseWriter, q *http.Request, f ReplicaFaults) {
 	if f.Hang {
 		<-q.Context().Done()
 		return
 	}
 	if f.LoseAnswer {
-		r.pause(q, r.Work)
+		r.sleep(q, r.Work)
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
@@ -255,32 +258,32 @@
 		r.stream(w, q, f, usage, r.EventEvery*slower)
 		return
 	}
-	if !r.pause(q, r.Work*slower) {
+	if !r.sleep(q, r.Work*slower) {
 		return
 	}
 	body := "done " + q.Header.Get("Request-Id")
 	if f.Surplus {
-		r.twice(w, q, body)
+		r.sendTwice(w, q, body)
 		return
 	}
-	_, _ = fmt.Fprint(w, body) // a caller that has gone shows in the context
+	_, _ = fmt.Fprint(w, body) // a disconnected caller cancels the context
 }
 
-// isBad draws whether a request is one of those that the replica answers badly.
+// isBad reports whether a request, sampled at random, must fail or be slow.
 func (f *ReplicaFaults) isBad(q *http.Request) bool {
 	return f.BadOneIn > 0 && strings.HasPrefix(q.URL.Path, f.BadOn) && rand.IntN(f.BadOneIn) == 0
 }
 
-// pause waits; it reports whether the caller is still there.
-func (r *Replica) pause(q *http.Request, d time.Duration) bool {
+// sleep waits for d. It reports whether the caller is still connected.
+func (r *Replica) sleep(q *http.Request, d time.Duration) bool {
 	return loop.Sleep(q.Context(), d)
 }
 
-// stream sends as many events as the request allows tokens, one each, after the
-// last that the caller has.
+// stream sends one event per token that the request allows, starting after the last
+// event that the caller has received.
 func (r *Replica) stream(w http.ResponseWriter, q *http.Request, f ReplicaFaults, usage string, every time.Duration) {
-	_, most, _ := strings.Cut(usage, ",")
-	n, _ := strconv.Atoi(most)
+	_, limit, _ := strings.Cut(usage, ",")
+	n, _ := strconv.Atoi(limit)
 	from, _ := strconv.Atoi(q.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
@@ -290,18 +293,18 @@
 			_ = control.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		if !r.pause(q, every) {
+		if !r.sleep(q, every) {
 			return
 		}
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: t\n\n", i); err != nil {
 			return
 		}
-		_ = control.Flush() // the next write tells
+		_ = control.Flush() // the next write returns the error
 	}
 }
 
-// twice sends an answer and once more, as some servers do.
-func (r *Replica) twice(w http.ResponseWriter, q *http.Request, body string) {
+// sendTwice sends a response twice, as some faulty servers do.
+func (r *Replica) sendTwice(w http.ResponseWriter, q *http.Request, body string) {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,8 +1,8 @@
-// Package standin plays the backend servers in the demo and in tests: a model
-// engine and a plain booking service, with switches for faults.
+// Package standin simulates backend servers for the demo and for tests: a model
+// engine and a plain booking service, with fault injection.
 //
-// Each [Server] records every request that it runs, so that a scenario can ask
-// how often each did. Faults are switched by POST /admin/faults and the record
+// Each [Server] records every request that it runs, so that a scenario can check
+// how often each request ran. Faults are set by POST /admin/faults, and the record
 // is read by GET /admin/runs.
 package standin
 
@@ -18,7 +18,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Kind says what a stand-in plays.
+// Kind is the kind of backend server that a stand-in simulates.
 type Kind string
 
 // The kinds.
@@ -27,61 +27,61 @@
 	Service Kind = "service"
 )
 
-// Faults are switches; all are off at the start.
+// Faults are the faults that a [Server] can inject. All are off initially.
 type Faults struct {
-	// Slow multiplies the times by this factor; 0 means 1.
+	// Slow is the factor by which all times are multiplied; 0 means 1.
 	Slow float64 `json:"slow"`
-	// Stuck: the answer stops after this many tokens; -1 before the first.
+	// Stuck stalls the response after this many tokens; -1 before the first.
 	Stuck int `json:"stuck"`
-	// Crossed: the answer bears another request's id.
+	// Crossed sends the response with the ID of another request.
 	Crossed bool `json:"crossed"`
-	// MixedID: the answer changes to another id in its middle.
+	// MixedID changes the ID within the response.
 	MixedID bool `json:"mixed_id"`
-	// Truncate: the connection breaks off after this many tokens.
+	// Truncate closes the connection after this many tokens.
 	Truncate int `json:"truncate"`
-	// BreakOnce: like Truncate, but a resumed answer goes on to its end.
+	// BreakOnce is like Truncate, but a resumed response completes.
 	BreakOnce int `json:"break_once"`
-	// NoUsage: the answer does not say what it used.
+	// NoUsage omits the token usage from the response.
 	NoUsage bool `json:"no_usage"`
-	// LoseAnswer: the request runs, but its answer is never sent.
-	LoseAnswer bool `json:"lose_answer"`
-	// Refuse: the server answers 503 and runs nothing.
+	// LoseResponse runs the request, but never sends its response.
+	LoseResponse bool `json:"lose_answer"`
+	// Refuse responds with status 503 and runs nothing.
 	Refuse bool `json:"refuse"`
-	// Rest is for how many seconds the server asks for rest when it refuses; above 0 it
-	// refuses all.
-	Rest float64 `json:"rest"`
+	// Backoff is the backoff in seconds that the server requests when it refuses; above 0 it
+	// refuses all requests.
+	Backoff float64 `json:"rest"`
 }
 
 // Run is the record of one request.
 type Run struct {
-	ID     string `json:"id"`
-	Path   string `json:"path"`
-	Tokens int64  `json:"tokens"`
-	Whole  bool   `json:"whole"`
+	ID       string `json:"id"`
+	Path     string `json:"path"`
+	Tokens   int64  `json:"tokens"`
+	Complete bool   `json:"whole"`
 }
 
-// Server is a stand-in. Set the exported fields before Handler.
+// Server is a simulated backend server. Set the exported fields before Handler.
 type Server struct {
 	Kind Kind
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// Prefill is the time for 1,000 bytes of prompt that are not cached.
+	// Prefill is the prefill time for 1,000 uncached bytes of a prompt.
 	Prefill time.Duration
 	// Token is the time between tokens.
 	Token time.Duration
-	// CacheEntries is how many prompt prefixes are remembered.
+	// CacheEntries is the size of the prefix cache in prompt prefixes.
 	CacheEntries int
-	// ChecksEpoch: orders under a lower epoch than the highest seen are
-	// refused.
+	// ChecksEpoch makes the server refuse requests with an epoch below the highest
+	// that it has seen.
 	ChecksEpoch bool
 
 	slots chan struct{}
 
-	mu     sync.Mutex // guards the fields below
-	faults Faults
-	runs   []*Run
-	hits   int
-	// refused counts what was answered with 503.
+	mu        sync.Mutex // guards the fields below
+	faults    Faults
+	runs      []*Run
+	cacheHits int
+	// refused counts the requests that were refused with status 503.
 	refused int
 	cache   *simplelru.LRU[string, struct{}]
 	epoch   uint64
@@ -95,10 +95,10 @@
 	m.Get("/admin/runs", s.showRuns)
 	m.Post("/admin/faults", s.setFaults)
 	if s.Kind == Engine {
-		m.Post("/v1/chat/completions", s.chat)
-		m.Get("/load", s.load)
+		m.Post("/v1/chat/completions", s.serveChat)
+		m.Get("/load", s.serveLoad)
 	} else {
-		m.HandleFunc("/*", s.call)
+		m.HandleFunc("/*", s.serveCall)
 	}
 	return m
 }
@@ -114,36 +114,36 @@
 	s.faults = f
 }
 
-// Record is what GET /admin/runs answers.
+// Record is the response of GET /admin/runs.
 type Record struct {
-	Runs []*Run `json:"runs"`
-	Hits int    `json:"hits"`
-	// Refused counts what was answered with 503.
+	Runs      []*Run `json:"runs"`
+	CacheHits int    `json:"hits"`
+	// Refused counts the requests that were refused with status 503.
 	Refused int `json:"refused"`
 }
 
 func (s *Server) showRuns(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(Record{s.runs, s.hits, s.refused})
+	_ = json.NewEncoder(w).Encode(Record{s.runs, s.cacheHits, s.refused})
 }
 
-// begin records a run, or refuses it.
+// begin records a run, or refuses the request.
 func (s *Server) begin(w http.ResponseWriter, r *http.Request) (*Run, Faults, bool) {
 	epoch, _ := strconv.ParseUint(r.Header.Get("Sumachead-Epoch"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if rest := s.faults.Rest; rest > 0 {
+	if backoff := s.faults.Backoff; backoff > 0 {
 		const bits = 64
-		w.Header().Set("Retry-After", strconv.FormatFloat(rest, 'f', -1, bits))
+		w.Header().Set("Retry-After", strconv.FormatFloat(backoff, 'f', -1, bits))
 	}
-	if s.faults.Rest > 0 || s.faults.Refuse || (s.ChecksEpoch && epoch < s.epoch) {
+	if s.faults.Backoff > 0 || s.faults.Refuse || (s.ChecksEpoch && epoch < s.epoch) {
 		s.refused++
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return nil, s.faults, false
 	}
 	s.epoch = max(s.epoch, epoch)
-	run := s.resumed(r)
+	run := s.resumedRun(r)
 	if run == nil {
 		run = &Run{ID: r.Header.Get("X-Request-Id"), Path: r.URL.Path}
 		s.runs = append(s.runs, run)
@@ -156,45 +156,45 @@
 	return run, s.faults, true
 }
 
-// resumed returns the run that a request asks to go on with; nil for none. The
-// caller holds mu.
-func (s *Server) resumed(r *http.Request) *Run {
+// resumedRun returns the run that a request asks to resume; nil for none. The caller
+// holds mu.
+func (s *Server) resumedRun(r *http.Request) *Run {
 	if r.Header.Get("X-Resume-From") == "" {
 		return nil
 	}
 	for _, run := range s.runs {
-		if run.ID == r.Header.Get("X-Request-Id") && !run.Whole {
+		if run.ID == r.Header.Get("X-Request-Id") && !run.Complete {
 			return run
 		}
 	}
 	return nil
 }
 
-// note changes a run's record.
-func (s *Server) note(f func()) {
+// update calls f, which updates the record of a run, with mu held.
+func (s *Server) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-// call plays one call of a plain service.
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
+// serveCall handles a call to a plain service.
+func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
 	run, f, ok := s.begin(w, r)
 	if !ok {
 		return
 	}
-	s.pause(r.Context(), s.Token, f)
-	s.note(func() { run.Whole = true })
-	if f.LoseAnswer {
+	s.sleep(r.Context(), s.Token, f)
+	s.update(func() { run.Complete = true })
+	if f.LoseResponse {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]string{"done": run.ID})
 }
 
-// pause waits for d, as far as the faults stretch it; false means that the
-// caller has gone.
-func (s *Server) pause(ctx context.Context, d time.Duration, f Faults) bool {
+// sleep waits for d, multiplied by the Slow factor. It returns false if the caller has
+// disconnected.
+func (s *Server) sleep(ctx context.Context, d time.Duration, f Faults) bool {
 	if f.Slow > 0 {
 		d = time.Duration(float64(d) * f.Slow)
 	}
--- a/internal/standin/standincmd/main.go
+++ b/internal/standin/standincmd/main.go
@@ -1,4 +1,4 @@
-// Package standincmd is the command line of the stand-in.
+// Package standincmd is the command line of the simulated backend server.
 package standincmd
 
 import (
@@ -25,7 +25,7 @@
 	Epochs  bool          `long:"checks-epochs" description:"refuse orders with an old epoch"`
 }
 
-// Main runs the stand-in and exits.
+// Main runs the simulated backend server until it is interrupted.
 func Main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
