--- a/internal/agent/queue.go
+++ b/internal/agent/queue.go
@@ -15,7 +15,7 @@
 	// urgentSlotDivisor divides the slots: that fraction of them is reserved for urgent
 	// requests while urgent requests arrive.
 	urgentSlotDivisor = 8
-	// minSlotsToReserve is the minimum number of slots of which any is reserved.
+	// minSlotsToReserve is the minimum number of slots at which any are reserved.
 	minSlotsToReserve = 4
 	// urgentWindow is how long slots stay reserved after an urgent request arrived.
 	urgentWindow = 30 * time.Second
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -117,7 +117,7 @@
 }
 
 // currentBoot returns the boot ID of the agent process at the address, and calls the
-// agent if it is unknown. If requireFresh is set, it also calls an agent whose last
+// agent if that ID is unknown. If requireFresh is set, it also calls an agent whose last
 // response is older than maxLoadAge: a non-idempotent request must not be sent
 // to an agent that may be unreachable.
 func (l *link) currentBoot(ctx context.Context, requireFresh bool) (string, error) {
