--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -31,21 +31,21 @@
 // Plan describes the load. Set the exported fields before Run.
 type Plan struct {
 	// URLs are the base URLs of routers, or of a backend server for comparison.
-	URLs      []string
-	Key       string
-	Model     string
-	Callers   int
-	Prompt    int
-	MaxTokens int
-	Stream    bool
-	Priority  string
+	URLs        []string
+	Key         string
+	Model       string
+	Callers     int
+	PromptBytes int
+	MaxTokens   int
+	Stream      bool
+	Priority    string
 	// SharedPrompts is the number of prompt prefixes that the callers share; 0 gives
 	// each request a prefix of its own.
-	Prompts int
+	SharedPrompts int
 	// Service is the pool of a plain service to call instead of a model.
 	Service string
 	// NonIdempotent marks the requests as non-idempotent.
-	NotRepeatable bool
+	NonIdempotent bool
 	// Rate is the requests per second of all callers together; 0 for no limit.
 	Rate   float64
 	Until  time.Time
@@ -54,17 +54,17 @@
 
 // Report is the result of a load.
 type Report struct {
-	Requests  int64            `json:"requests"`
-	Answers   int64            `json:"answers"`
-	PerSecond float64          `json:"answers_per_second"`
-	Tokens    int64            `json:"tokens"`
-	Outcomes  map[string]int64 `json:"outcomes"`
-	First     Times            `json:"first_token"`
-	Whole     Times            `json:"whole_answer"`
+	Requests   int64            `json:"requests"`
+	Responses  int64            `json:"answers"`
+	PerSecond  float64          `json:"answers_per_second"`
+	Tokens     int64            `json:"tokens"`
+	Outcomes   map[string]int64 `json:"outcomes"`
+	FirstToken Quantiles        `json:"first_token"`
+	Complete   Quantiles        `json:"whole_answer"`
 }
 
 // Quantiles holds quantiles of response times in milliseconds.
-type Times struct {
+type Quantiles struct {
 	Median float64 `json:"median_ms"`
 	P95    float64 `json:"p95_ms"`
 	P99    float64 `json:"p99_ms"`
@@ -173,8 +173,8 @@
 	if p.Priority != "" {
 		req.Header.Set(router.HeaderPriority, p.Priority)
 	}
-	if p.NotRepeatable {
-		req.Header.Set(router.HeaderNotRepeatable, "true")
+	if p.NonIdempotent {
+		req.Header.Set(router.HeaderNonIdempotent, "true")
 	}
 	began := time.Now()
 	resp, err := p.Client.Do(req)
@@ -191,10 +191,10 @@
 func (r *runner) chatBody(n, i int) []byte {
 	p := r.plan
 	prefix := fmt.Sprintf("caller %d request %d ", n, i)
-	if p.Prompts > 0 {
-		prefix = fmt.Sprintf("prompt %d ", (n+i)%p.Prompts)
+	if p.SharedPrompts > 0 {
+		prefix = fmt.Sprintf("prompt %d ", (n+i)%p.SharedPrompts)
 	}
-	text := strings.Repeat(prefix, p.Prompt/len(prefix)+1)[:max(p.Prompt, len(prefix))]
+	text := strings.Repeat(prefix, p.PromptBytes/len(prefix)+1)[:max(p.PromptBytes, len(prefix))]
 	body, _ := json.Marshal(map[string]any{
 		"model": p.Model, "stream": p.Stream, "max_tokens": p.MaxTokens,
 		"messages": []any{map[string]string{"role": "user", "content": text}},
@@ -273,13 +273,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return &Report{
-		Requests: r.requests, Answers: r.responses, Tokens: r.tokens, Outcomes: r.outcomes,
-		PerSecond: float64(r.responses) / time.Since(r.began).Seconds(),
-		First:     quantiles(r.firstToken), Whole: quantiles(r.complete),
+		Requests: r.requests, Responses: r.responses, Tokens: r.tokens, Outcomes: r.outcomes,
+		PerSecond:  float64(r.responses) / time.Since(r.began).Seconds(),
+		FirstToken: quantiles(r.firstToken), Complete: quantiles(r.complete),
 	}
 }
 
-func quantiles(h *hdrhistogram.Histogram) Times {
+func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return Times{at(50), at(95), at(99), float64(h.Max()) / 1000}
+	return Quantiles{at(50), at(95), at(99), float64(h.Max()) / 1000}
 }
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -13,7 +13,7 @@
 const (
 	HeaderKey           = "Idempotency-Key"
 	HeaderDeadline      = "Sumachead-Deadline"
-	HeaderNotRepeatable = "Sumachead-Not-Repeatable"
+	HeaderNonIdempotent = "Sumachead-Not-Repeatable"
 	HeaderPriority      = "Sumachead-Priority"
 	HeaderRequestID     = "X-Request-Id"
 	HeaderAttempts      = "Sumachead-Attempts"
--- a/internal/router/filters.go
+++ b/internal/router/filters.go
@@ -36,7 +36,7 @@
 		x.w.Header().Set(HeaderRequestID, x.id)
 		x.setKey(x.key)
 		if !x.callerChoseKey {
-			x.setKey(r.randomKey(x.r.Header.Get(HeaderNotRepeatable) == "true"))
+			x.setKey(r.randomKey(x.r.Header.Get(HeaderNonIdempotent) == "true"))
 		}
 		return next(x)
 	}
@@ -122,12 +122,12 @@
 		if x.priority, ok = sumachead.ParsePriority(x.r.Header.Get(HeaderPriority)); !ok {
 			return notRun(sumachead.ReasonBadRequest, HeaderPriority+" is none of urgent, normal and batch", time.Time{})
 		}
-		switch h := x.r.Header.Get(HeaderNotRepeatable); h {
+		switch h := x.r.Header.Get(HeaderNonIdempotent); h {
 		case "", "false":
 		case "true":
 			x.nonIdempotent = true
 		default:
-			return notRun(sumachead.ReasonBadRequest, HeaderNotRepeatable+" is neither true nor false", time.Time{})
+			return notRun(sumachead.ReasonBadRequest, HeaderNonIdempotent+" is neither true nor false", time.Time{})
 		}
 		return next(x)
 	}
--- a/internal/scenario/call_test.go
+++ b/internal/scenario/call_test.go
@@ -65,7 +65,7 @@
 	set(router.HeaderKey, q.key)
 	set(router.HeaderPriority, q.priority)
 	if q.nonIdempotent {
-		set(router.HeaderNotRepeatable, "true")
+		set(router.HeaderNonIdempotent, "true")
 	}
 	if q.deadline != 0 {
 		set(router.HeaderDeadline, time.Now().Add(q.deadline).Format(time.RFC3339Nano))
--- a/internal/scenario/endsservers_test.go
+++ b/internal/scenario/endsservers_test.go
@@ -53,7 +53,7 @@
 func (f *fleet) crashOn(body string, sameID bool) {
 	for _, r := range f.servers() {
 		if r.Service == "pool" {
-			r.EndUnder(body, sameID)
+			r.CrashOn(body, sameID)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 func (f *fleet) crashCountOn(body string) int {
 	n := 0
 	for _, r := range f.servers() {
-		n += r.Ends(body)
+		n += r.CrashCount(body)
 	}
 	return n
 }
--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -189,8 +189,8 @@
 // addServer starts the stand-in of a backend server on a host.
 func (f *fleet) addServer(name, service, hall, host string) {
 	r := &standin.Replica{
-		ID: "i-" + name, Service: service, Hall: hall, Address: fmt.Sprintf("%s:%d", host, freePort()), Control: f.controlAddresses,
-		Every: 300 * time.Millisecond, EventEvery: 3 * time.Millisecond, Work: 20 * time.Millisecond, Version: firstVersion,
+		ID: "i-" + name, Service: service, Hall: hall, Address: fmt.Sprintf("%s:%d", host, freePort()), ControlAddresses: f.controlAddresses,
+		HeartbeatInterval: 300 * time.Millisecond, EventInterval: 3 * time.Millisecond, ResponseTime: 20 * time.Millisecond, Version: firstVersion,
 	}
 	f.runServer(name, r)
 }
--- a/internal/scenario/fleetcall_test.go
+++ b/internal/scenario/fleetcall_test.go
@@ -186,7 +186,7 @@
 			if x.Workspace != "clerks" {
 				violations = append(violations, fmt.Sprintf("%s ran %s for workspace %q", name, x.ID, x.Workspace))
 			}
-			if acked := r.DrainAcked(); !acked.IsZero() && x.At.After(acked.Add(maxDrainDelay)) {
+			if acked := r.DrainAckedAt(); !acked.IsZero() && x.At.After(acked.Add(maxDrainDelay)) {
 				violations = append(violations, fmt.Sprintf("%s got %s %v after its draining was acknowledged", name, x.ID, x.At.Sub(acked)))
 			}
 			if n := r.ColdRuns(x.At); float64(n) > coldRate*coldOverage+coldSlack {
--- a/internal/scenario/fleetcmds_test.go
+++ b/internal/scenario/fleetcmds_test.go
@@ -211,7 +211,7 @@
 			ts.Fatalf("no keeper acknowledged")
 		}
 	case "cold":
-		r.StartAnew(coldDuration)
+		r.RestartCold(coldDuration)
 	case "leave":
 		if !r.Leave(ctx) {
 			ts.Fatalf("no keeper acknowledged")
@@ -219,7 +219,7 @@
 	default:
 		var faults standin.ReplicaFaults
 		ts.Check(json.Unmarshal([]byte(args[1]), &faults))
-		r.Set(faults)
+		r.SetFaults(faults)
 	}
 }
 
--- a/internal/scenario/fleetsoak_faults_test.go
+++ b/internal/scenario/fleetsoak_faults_test.go
@@ -120,7 +120,7 @@
 // restartCold replaces an engine's incarnation by a cold one.
 func (s *fleetSoak) restartCold(r *rand.Rand) {
 	names := slices.DeleteFunc(slices.Sorted(maps.Keys(s.servers())), func(n string) bool { return !strings.HasPrefix(n, "engine-") })
-	s.servers()[names[r.IntN(len(names))]].StartAnew(coldDuration)
+	s.servers()[names[r.IntN(len(names))]].RestartCold(coldDuration)
 }
 
 // exchangeSeeds rewrites the settings of all processes with other keepers as seeds. Running
@@ -298,9 +298,9 @@
 func (s *fleetSoak) serverFault(r *rand.Rand, duration time.Duration) {
 	faults := []standin.ReplicaFaults{{LoseAnswer: true}, {BreakAfter: 2}, {Surplus: true}, {Refuse: true}, {Hang: true}}
 	_, server := s.randomServer(r)
-	server.Set(faults[r.IntN(len(faults))])
+	server.SetFaults(faults[r.IntN(len(faults))])
 	time.Sleep(duration)
-	server.Set(standin.ReplicaFaults{})
+	server.SetFaults(standin.ReplicaFaults{})
 }
 
 // servers returns the backend servers that have not left.
@@ -309,7 +309,7 @@
 	defer s.f.mu.Unlock()
 	out := make(map[string]*standin.Replica)
 	for name, r := range s.f.replicas {
-		if r.DrainAcked().IsZero() && !r.Stopped() {
+		if r.DrainAckedAt().IsZero() && !r.Stopped() {
 			out[name] = r
 		}
 	}
--- a/internal/scenario/fleetsoak_limits_test.go
+++ b/internal/scenario/fleetsoak_limits_test.go
@@ -43,18 +43,18 @@
 	duration := limitLearnTime + limitWindow + time.Duration(r.IntN(4000))*time.Millisecond
 	changes := r.IntN(3) == 0
 	for _, x := range servers {
-		x.NameLimit(rate)
+		x.ReportLimit(rate)
 	}
 	time.Sleep(duration / 2)
 	if changes {
 		s.count(s.faults, "a limit changes")
 		for _, x := range servers {
-			x.NameLimit(rate * 2)
+			x.ReportLimit(rate * 2)
 		}
 	}
 	time.Sleep(duration / 2)
 	for _, x := range servers {
-		x.NameLimit(0)
+		x.ReportLimit(0)
 	}
 }
 
@@ -66,7 +66,7 @@
 
 // limitSpans returns the periods in which one incarnation of a server reports a limit, up to now.
 func limitSpans(r *standin.Replica, now time.Time) (out []limitSpan) {
-	limits, starts := r.Limits(), r.Starts()
+	limits, starts := r.Limits(), r.RestartTimes()
 	for i, l := range limits {
 		if l.Rate == 0 {
 			continue
@@ -75,8 +75,8 @@
 		if i+1 < len(limits) {
 			to = limits[i+1].Since
 		}
-		if len(starts) > l.Life && starts[l.Life].Before(to) {
-			to = starts[l.Life]
+		if len(starts) > l.Incarnation && starts[l.Incarnation].Before(to) {
+			to = starts[l.Incarnation]
 		}
 		out = append(out, limitSpan{l.Since, to, l.Rate})
 	}
@@ -138,17 +138,17 @@
 
 func TestLimitSpans(t *testing.T) {
 	r := &standin.Replica{ID: "a"}
-	r.NameLimit(2)
-	r.NameLimit(4)
-	r.NameLimit(0)
+	r.ReportLimit(2)
+	r.ReportLimit(4)
+	r.ReportLimit(0)
 	now := time.Now().Add(time.Second)
 	l := r.Limits()
 	want := []limitSpan{{l[0].Since, l[1].Since, 2}, {l[1].Since, l[2].Since, 4}}
 	if got := limitSpans(r, now); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	r.NameLimit(3)
-	r.StartUnderID()
+	r.ReportLimit(3)
+	r.RestartSameID()
 	got := limitSpans(r, now)
 	if last := got[len(got)-1]; last.rate != 3 || !last.to.Before(now) {
 		t.Errorf("a limit outlasts the restart of its server: %v", last)
--- a/internal/scenario/fleetsoak_notices_test.go
+++ b/internal/scenario/fleetsoak_notices_test.go
@@ -45,7 +45,7 @@
 		}},
 		{"a server announces in responses that it leaves", func() {
 			s.addReplacement(r, name, server)
-			server.SayLeaving()
+			server.AnnounceLeaving()
 			time.Sleep(maxDrainDelay + duration)
 			s.drain(server)
 		}},
@@ -58,11 +58,11 @@
 // rejectRequests makes servers reject all requests for a while.
 func (s *fleetSoak) rejectRequests(backoff, duration time.Duration, servers ...*standin.Replica) {
 	for _, x := range servers {
-		x.TurnAway(backoff)
+		x.RejectRequests(backoff)
 	}
 	time.Sleep(duration)
 	for _, x := range servers {
-		x.TurnAway(0)
+		x.RejectRequests(0)
 	}
 }
 
@@ -78,7 +78,7 @@
 func (s *fleetSoak) checkNotices() {
 	rejected := 0
 	for _, r := range s.f.servers() {
-		rejected += len(r.TurnedAway())
+		rejected += len(r.Rejections())
 		for _, sent := range s.f.sentByBackoff(r, s.hadFaultBetween) {
 			if len(sent) > maxInBackoff {
 				s.recordViolation("%d requests within a backoff: %s", len(sent), strings.Join(sent, "; "))
--- a/internal/scenario/fleetsoak_test.go
+++ b/internal/scenario/fleetsoak_test.go
@@ -243,9 +243,9 @@
 func (s *fleetSoak) recover() {
 	s.f.net.healAll()
 	for _, r := range s.servers() {
-		r.Set(standin.ReplicaFaults{})
-		r.TurnAway(0)
-		r.NameLimit(0)
+		r.SetFaults(standin.ReplicaFaults{})
+		r.RejectRequests(0)
+		r.ReportLimit(0)
 	}
 	for _, name := range s.f.order {
 		if p := s.f.processes[name]; !p.running() {
--- a/internal/scenario/ratelimit_test.go
+++ b/internal/scenario/ratelimit_test.go
@@ -29,7 +29,7 @@
 	for _, x := range r.Runs() {
 		out = append(out, x.At)
 	}
-	for _, x := range r.TurnedAway() {
+	for _, x := range r.Rejections() {
 		out = append(out, x.At)
 	}
 	slices.SortFunc(out, time.Time.Compare)
@@ -131,7 +131,7 @@
 func (f *fleet) checkLimitsEnd(t *testing.T, kind string, rate float64, servers []*standin.Replica) {
 	t.Helper()
 	for _, r := range servers {
-		r.NameLimit(0)
+		r.ReportLimit(0)
 	}
 	f.sendLoad(kind, time.Now().Add(limitWindow))
 	n := 0
@@ -146,7 +146,7 @@
 // setLimit makes servers report a limit, and returns them.
 func (f *fleet) setLimit(rate float64, names ...string) (servers []*standin.Replica) {
 	for _, n := range names {
-		f.replicas[n].NameLimit(rate)
+		f.replicas[n].ReportLimit(rate)
 		servers = append(servers, f.replicas[n])
 	}
 	return servers
--- a/internal/scenario/rest_test.go
+++ b/internal/scenario/rest_test.go
@@ -47,7 +47,7 @@
 // rejectRequests makes servers reject all requests with a backoff, and returns them.
 func (f *fleet) rejectRequests(backoff time.Duration, names ...string) (servers []*standin.Replica) {
 	for _, n := range names {
-		f.replicas[n].TurnAway(backoff)
+		f.replicas[n].RejectRequests(backoff)
 		servers = append(servers, f.replicas[n])
 	}
 	return servers
@@ -71,17 +71,17 @@
 // router that reached the server within that backoff. It leaves out those within backoffGrace and
 // those of a router that is excused in between.
 func (f *fleet) sentByBackoff(r *standin.Replica, excused func(router string, from, to time.Time) bool) (out [][]string) {
-	callers, rejected := f.callersByID(), r.TurnedAway()
+	callers, rejected := f.callersByID(), r.Rejections()
 	for i, rejection := range rejected {
 		var sent []string
 		router := callers[rejection.ID].router
 		for _, x := range rejected[i+1:] {
 			since := x.At.Sub(rejection.At)
-			if since >= rejection.Rest {
+			if since >= rejection.Backoff {
 				break
 			}
 			if since > backoffGrace && callers[x.ID].router == router && !excused(router, rejection.At, x.At) {
-				sent = append(sent, fmt.Sprintf("%s from %s at %s, %v after a requested backoff of %v", x.ID, router, r.ID, since.Round(time.Millisecond), rejection.Rest))
+				sent = append(sent, fmt.Sprintf("%s from %s at %s, %v after a requested backoff of %v", x.ID, router, r.ID, since.Round(time.Millisecond), rejection.Backoff))
 			}
 		}
 		out = append(out, sent)
@@ -106,7 +106,7 @@
 	for _, x := range r.Runs() {
 		reached[x.ID] = x.At
 	}
-	for _, x := range r.TurnedAway() {
+	for _, x := range r.Rejections() {
 		reached[x.ID] = x.At
 	}
 	for id, reachedAt := range reached {
@@ -181,7 +181,7 @@
 			var early []string
 			for _, r := range servers {
 				early = append(early, f.sentDuringBackoff(r)...)
-				if len(r.TurnedAway()) == 0 {
+				if len(r.Rejections()) == 0 {
 					t.Errorf("%s got no request", r.ID)
 				}
 			}
@@ -204,7 +204,7 @@
 				t.Errorf("%d of %d requests have no complete response while other servers could serve them, the first: %s", len(failed), len(callers), failed[0])
 			}
 			for _, r := range servers {
-				r.TurnAway(0)
+				r.RejectRequests(0)
 			}
 			before := make(map[*standin.Replica]int)
 			for _, r := range servers {
@@ -236,7 +236,7 @@
 	if err := eventually(backoff, "all servers have requested backoff", func() bool {
 		ask()
 		for _, r := range servers {
-			if len(r.TurnedAway()) == 0 {
+			if len(r.Rejections()) == 0 {
 				return false
 			}
 		}
@@ -244,12 +244,12 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	first := servers[0].TurnedAway()[0].At
+	first := servers[0].Rejections()[0].At
 	for _, r := range servers {
-		if at := r.TurnedAway()[0].At; at.Before(first) {
+		if at := r.Rejections()[0].At; at.Before(first) {
 			first = at
 		}
-		r.TurnAway(0)
+		r.RejectRequests(0)
 	}
 	backoffEnd := first.Add(backoff)
 	c := ask()
@@ -284,7 +284,7 @@
 			f := startFleet(t, fleetShape{keepers: 3, routers: 2, relays: 3, engines: 3, desks: 2, prepaid: 10_000_000})
 			f.awaitServersKnown(t)
 			r := f.replicas[tt.server]
-			r.SayLeaving()
+			r.AnnounceLeaving()
 			callers := f.sendLoad(tt.kind, time.Now().Add(4*time.Second))
 			for _, c := range callers {
 				if !c.complete {
@@ -298,7 +298,7 @@
 				t.Errorf("%d requests reached it that were sent after their router had forwarded that it leaves, the first: %s", len(late), late[0])
 			}
 			before := len(r.Runs())
-			r.StartUnderID()
+			r.RestartSameID()
 			if err := eventually(startTimeout, "its next incarnation is used", func() bool {
 				f.sendLoad(tt.kind, time.Now().Add(100*time.Millisecond))
 				return len(r.Runs()) > before
--- a/internal/scenario/rollout_test.go
+++ b/internal/scenario/rollout_test.go
@@ -99,9 +99,9 @@
 func (f *fleet) addVersionOf(old *standin.Replica, id, version string, faults standin.ReplicaFaults) *standin.Replica {
 	r := &standin.Replica{
 		ID: id, Service: old.Service, Hall: old.Hall, Address: fmt.Sprintf("%s:%d", f.serverHost(), freePort()),
-		Control: f.controlAddresses, Every: old.Every, EventEvery: old.EventEvery, Work: old.Work, Version: version,
+		ControlAddresses: f.controlAddresses, HeartbeatInterval: old.HeartbeatInterval, EventInterval: old.EventInterval, ResponseTime: old.ResponseTime, Version: version,
 	}
-	r.Set(faults)
+	r.SetFaults(faults)
 	f.runServer(strings.TrimPrefix(id, "i-"), r)
 	return r
 }
--- a/internal/scenario/sameid_test.go
+++ b/internal/scenario/sameid_test.go
@@ -29,7 +29,7 @@
 			if !tt.before(f) {
 				t.Fatal("nobody acknowledged")
 			}
-			f.replicas["engine-1"].StartUnderID()
+			f.replicas["engine-1"].RestartSameID()
 			start := time.Now()
 			if err := eventually(startTimeout, "its next incarnation serves requests", func() bool {
 				return f.do(fleetRequest{kind: "stream", router: "router-1", events: 2}).complete && f.do(fleetRequest{kind: "stream", router: "router-2", events: 2}).complete
--- a/internal/standin/limits.go
+++ b/internal/standin/limits.go
@@ -13,13 +13,13 @@
 	// Rate is in requests per second; 0 for no limit.
 	Rate float64
 	// Incarnation is the number of restarts of the replica before.
-	Life int
+	Incarnation int
 }
 
 // ReportLimit makes the replica report a request limit in its responses, in requests per second,
 // until its next restart; it reports none with a rate of 0. The replica still runs requests above
 // the limit.
-func (r *Replica) NameLimit(rate float64) {
+func (r *Replica) ReportLimit(rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limits = append(r.limits, ReplicaLimit{time.Now(), rate, len(r.restarts)})
@@ -38,7 +38,7 @@
 		return
 	}
 	l := r.limits[len(r.limits)-1]
-	if l.Rate == 0 || l.Life != len(r.restarts) {
+	if l.Rate == 0 || l.Incarnation != len(r.restarts) {
 		return
 	}
 	const bits = 64
@@ -46,7 +46,7 @@
 }
 
 // RestartTimes returns when the replica was restarted, oldest first.
-func (r *Replica) Starts() []time.Time {
+func (r *Replica) RestartTimes() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.restarts)
--- a/internal/standin/notices.go
+++ b/internal/standin/notices.go
@@ -14,19 +14,19 @@
 	ID string
 	At time.Time
 	// Backoff is the backoff that the replica requested from the sender.
-	Rest time.Duration
+	Backoff time.Duration
 }
 
 // RejectRequests makes the replica reject all requests and request a backoff with each response. A
 // backoff of 0 ends it.
-func (r *Replica) TurnAway(backoff time.Duration) {
+func (r *Replica) RejectRequests(backoff time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.backoff = backoff
 }
 
 // Rejections returns the rejected requests in order.
-func (r *Replica) TurnedAway() []ReplicaRejection {
+func (r *Replica) Rejections() []ReplicaRejection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.rejections)
@@ -34,7 +34,7 @@
 
 // AnnounceLeaving makes the replica announce in its responses only that it is leaving: its
 // heartbeats still report it as ready. The next incarnation does not announce it.
-func (r *Replica) SayLeaving() {
+func (r *Replica) AnnounceLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leavingSince = time.Now()
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -71,7 +71,7 @@
 // CrashOn makes the replica's process crash soon after it has begun to run a request whose body
 // has the given prefix, and restart after a delay, under a new ID or the same one. An empty prefix
 // turns this off.
-func (r *Replica) EndUnder(body string, sameID bool) {
+func (r *Replica) CrashOn(body string, sameID bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crashPrefix, r.sameID = body, sameID
@@ -103,7 +103,7 @@
 	}
 	r.mu.Unlock()
 	if !sameID {
-		r.StartAnew(0)
+		r.RestartCold(0)
 	}
 }
 
@@ -115,7 +115,7 @@
 }
 
 // RestartSameID restarts the replica at once under its current ID, as a restarted process does.
-func (r *Replica) StartUnderID() {
+func (r *Replica) RestartSameID() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resetForRestart()
@@ -143,7 +143,7 @@
 }
 
 // CrashCount returns how often the replica's process crashed on a request with the body.
-func (r *Replica) Ends(body string) int {
+func (r *Replica) CrashCount(body string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashes[body]
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -19,7 +19,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(r.Every):
+		case <-time.After(r.HeartbeatInterval):
 		}
 	}
 }
@@ -89,7 +89,7 @@
 
 // post calls the control addresses in turn until one acknowledges.
 func (r *Replica) post(ctx context.Context, path string, body []byte) bool {
-	for _, a := range r.Control() {
+	for _, a := range r.ControlAddresses() {
 		if r.postTo(ctx, "http://"+a+path, body) {
 			return true
 		}
@@ -123,7 +123,7 @@
 }
 
 // DrainAckedAt returns when draining was acknowledged; zero before.
-func (r *Replica) DrainAcked() time.Time {
+func (r *Replica) DrainAckedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.drainAckedAt
--- a/internal/standin/register_test.go
+++ b/internal/standin/register_test.go
@@ -16,18 +16,18 @@
 		acked     bool
 	}{
 		{"same incarnation", func(*Replica) {}, true},
-		{"next incarnation runs", func(r *Replica) { r.StartAnew(0) }, false},
+		{"next incarnation runs", func(r *Replica) { r.RestartCold(0) }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := &Replica{ID: "i-1", Service: "pool"}
 			s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { tt.meanwhile(r) }))
 			defer s.Close()
-			r.Control = func() []string { return []string{s.Listener.Addr().String()} }
+			r.ControlAddresses = func() []string { return []string{s.Listener.Addr().String()} }
 			if !r.Drain(t.Context()) {
 				t.Fatal("the heartbeat was not acknowledged")
 			}
-			if got := !r.DrainAcked().IsZero(); got != tt.acked {
+			if got := !r.DrainAckedAt().IsZero(); got != tt.acked {
 				t.Errorf("drain acknowledged to the running incarnation: %t, want %t", got, tt.acked)
 			}
 		})
--- a/internal/standin/replica.go
+++ b/internal/standin/replica.go
@@ -58,12 +58,12 @@
 	// Address is the host:port at which it serves.
 	Address string
 	// ControlAddresses returns the addresses that accept heartbeats.
-	Control func() []string
+	ControlAddresses func() []string
 	// HeartbeatInterval is the interval between heartbeats.
-	Every time.Duration
+	HeartbeatInterval time.Duration
 	// EventInterval is the time between events, ResponseTime that of a plain response.
-	EventEvery time.Duration
-	Work       time.Duration
+	EventInterval time.Duration
+	ResponseTime  time.Duration
 
 	mu     sync.Mutex // guards the fields below and the elements of runs
 	faults ReplicaFaults
@@ -109,7 +109,7 @@
 
 // RestartCold starts a new incarnation of the replica with a new ID that is cold for the
 // given time.
-func (r *Replica) StartAnew(cold time.Duration) {
+func (r *Replica) RestartCold(cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -166,7 +166,7 @@
 }
 
 // SetFaults replaces the injected faults.
-func (r *Replica) Set(f ReplicaFaults) {
+func (r *Replica) SetFaults(f ReplicaFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
@@ -240,7 +240,7 @@
 		return
 	}
 	if f.LoseAnswer {
-		r.sleep(q, r.Work)
+		r.sleep(q, r.ResponseTime)
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
@@ -255,10 +255,10 @@
 		slower = time.Duration(f.Slower)
 	}
 	if usage := q.Header.Get("Token-Usage"); usage != "" {
-		r.stream(w, q, f, usage, r.EventEvery*slower)
+		r.stream(w, q, f, usage, r.EventInterval*slower)
 		return
 	}
-	if !r.sleep(q, r.Work*slower) {
+	if !r.sleep(q, r.ResponseTime*slower) {
 		return
 	}
 	body := "done " + q.Header.Get("Request-Id")
@@ -315,5 +315,5 @@
 			q.Header.Get("Request-Id"), r.ID, len(body), body)
 	}
 	_ = buffered.Flush()
-	time.Sleep(r.Work)
+	time.Sleep(r.ResponseTime)
 }
--- a/internal/tool/load.go
+++ b/internal/tool/load.go
@@ -41,8 +41,8 @@
 	Load   *load.Report `json:"load"`
 	Direct *load.Report `json:"direct,omitempty"`
 	// Added is what the system adds to the first token, in milliseconds.
-	Added *load.Times `json:"added_to_first_token,omitempty"`
-	Money *moneyCheck `json:"money,omitempty"`
+	Added *load.Quantiles `json:"added_to_first_token,omitempty"`
+	Money *moneyCheck     `json:"money,omitempty"`
 }
 
 // moneyCheck compares the budget before and after.
@@ -71,8 +71,8 @@
 	}
 	result.Load = l.run(l.URLs)
 	if result.Direct != nil {
-		a, b := result.Load.First, result.Direct.First
-		result.Added = &load.Times{Median: a.Median - b.Median, P95: a.P95 - b.P95, P99: a.P99 - b.P99, Max: a.Max - b.Max}
+		a, b := result.Load.FirstToken, result.Direct.FirstToken
+		result.Added = &load.Quantiles{Median: a.Median - b.Median, P95: a.P95 - b.P95, P99: a.P99 - b.P99, Max: a.Max - b.Max}
 	}
 	if before != nil {
 		if result.Money, err = l.money(before, result.Load); err != nil {
@@ -108,8 +108,8 @@
 	t := &http.Transport{MaxIdleConnsPerHost: l.Callers, TLSClientConfig: &tls.Config{RootCAs: l.roots}}
 	return load.Run(context.Background(), &load.Plan{
 		URLs: urls, Key: l.Key, Model: l.Model, Service: l.Service, Callers: l.Callers,
-		Prompt: l.Prompt, Prompts: l.Prompts, MaxTokens: l.MaxTokens, Rate: l.Rate, Priority: l.Priority,
-		Stream: !l.NoStream, NotRepeatable: l.NotRepeatable,
+		PromptBytes: l.Prompt, SharedPrompts: l.Prompts, MaxTokens: l.MaxTokens, Rate: l.Rate, Priority: l.Priority,
+		Stream: !l.NoStream, NonIdempotent: l.NotRepeatable,
 		Until: time.Now().Add(l.Duration), Client: &http.Client{Transport: t},
 	})
 }
@@ -180,9 +180,9 @@
 }
 
 func (l *loadCommand) printReport(name string, r *load.Report) {
-	l.app.printf("%s: %d requests, %d answers, %.1f answers/s, %d tokens\n", name, r.Requests, r.Answers, r.PerSecond, r.Tokens)
-	l.app.printf("  first token: median %.2f ms, p95 %.2f, p99 %.2f, max %.2f\n", r.First.Median, r.First.P95, r.First.P99, r.First.Max)
-	l.app.printf("  whole answer: median %.2f ms, p95 %.2f, p99 %.2f, max %.2f\n", r.Whole.Median, r.Whole.P95, r.Whole.P99, r.Whole.Max)
+	l.app.printf("%s: %d requests, %d answers, %.1f answers/s, %d tokens\n", name, r.Requests, r.Responses, r.PerSecond, r.Tokens)
+	l.app.printf("  first token: median %.2f ms, p95 %.2f, p99 %.2f, max %.2f\n", r.FirstToken.Median, r.FirstToken.P95, r.FirstToken.P99, r.FirstToken.Max)
+	l.app.printf("  whole answer: median %.2f ms, p95 %.2f, p99 %.2f, max %.2f\n", r.Complete.Median, r.Complete.P95, r.Complete.P99, r.Complete.Max)
 	for _, k := range slices.Sorted(maps.Keys(r.Outcomes)) {
 		l.app.printf("  %-32s %d\n", k, r.Outcomes[k])
 	}
