--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -67,7 +67,7 @@
 
 func machine(b *testing.B) *settings.Machine {
 	o := tree()
-	objects, err := o.Wire()
+	objects, err := o.ToWire()
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -11,23 +11,23 @@
 	"sumachead/api/wire"
 )
 
-// keptHistory is how many changes are kept: for resends, for the history that
-// operators read, and as the deltas that followers catch up from.
-const keptHistory = 4096
+// maxHistory is the number of changes kept to deduplicate retries, to list
+// for operators, and to send to followers as deltas.
+const maxHistory = 4096
 
-// RevertError reports settings older than those in force.
-type RevertError struct{ Have, Got uint64 }
+// StaleRevisionError reports settings older than the ones in force.
+type StaleRevisionError struct{ Have, Got uint64 }
 
 // Error implements error.
-func (e *RevertError) Error() string {
+func (e *StaleRevisionError) Error() string {
 	return fmt.Sprintf("settings revision %d is older than %d, which is in force", e.Got, e.Have)
 }
 
-// Machine is the replicated tree with its history. Reads are safe for
-// concurrent use.
+// Machine is the replicated state machine of the settings tree and its change
+// history. Reads are safe for concurrent use.
 type Machine struct {
-	// Session names this history of revisions; a follower with another one
-	// needs a snapshot.
+	// Session identifies this history of revisions. A follower with another
+	// session needs a snapshot.
 	Session string
 
 	mu       sync.RWMutex // guards the fields below
@@ -38,7 +38,7 @@
 	changed  chan struct{}
 }
 
-// NewMachine returns the state of a new system.
+// NewMachine returns the initial state of a new system.
 func NewMachine(session string) *Machine {
 	return &Machine{
 		Session: session, tree: EmptyTree(),
@@ -46,8 +46,8 @@
 	}
 }
 
-// Apply implements sumachead.StateMachine. The command is a ChangeRequest and
-// the result a *wire.ChangeReply.
+// Apply implements sumachead.StateMachine. The command is an encoded
+// ChangeRequest and the result a *wire.ChangeReply.
 func (m *Machine) Apply(_ uint64, command []byte) any {
 	var r wire.ChangeRequest
 	if err := proto.Unmarshal(command, &r); err != nil {
@@ -71,7 +71,8 @@
 	return &wire.ChangeReply{Status: wire.ChangeStatus_CHANGE_STATUS_COMMITTED, Revision: m.revision}
 }
 
-// conflict shows the change that took the revision which r was made for.
+// conflict returns the reply to a change made against an old revision. It
+// includes the change that was committed in place of r.
 func (m *Machine) conflict(r *wire.ChangeRequest) *wire.ChangeReply {
 	reply := &wire.ChangeReply{
 		Status: wire.ChangeStatus_CHANGE_STATUS_CONFLICT, Revision: m.revision,
@@ -88,7 +89,7 @@
 func (m *Machine) commit(next *Tree, r *wire.ChangeRequest) {
 	m.tree = next
 	m.revision++
-	m.remember(&wire.ChangeRecord{
+	m.appendHistory(&wire.ChangeRecord{
 		Revision: m.revision, ChangeId: r.GetChangeId(), Author: r.GetAuthor(),
 		AtUnixNano: r.GetAtUnixNano(), Objects: r.GetObjects(),
 	})
@@ -96,17 +97,17 @@
 	m.changed = make(chan struct{})
 }
 
-func (m *Machine) remember(c *wire.ChangeRecord) {
+func (m *Machine) appendHistory(c *wire.ChangeRecord) {
 	m.history = append(m.history, c)
 	m.byID[c.GetChangeId()] = c
-	if len(m.history) > keptHistory {
+	if len(m.history) > maxHistory {
 		delete(m.byID, m.history[0].GetChangeId())
 		m.history = m.history[1:]
 	}
 }
 
-// ChangedBy returns the objects of a committed change: those of its first copy,
-// whatever a resend holds.
+// CommittedObjects returns the objects of a committed change as they were first
+// received; the content of a retry is ignored.
 func (m *Machine) ChangedBy(r *wire.ChangeRequest) []*wire.SettingsObject {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -123,7 +124,7 @@
 	tree := m.tree
 	s := &wire.SettingsSnapshot{Session: m.Session, Revision: m.revision, History: slices.Clone(m.history)}
 	return func() (data []byte, err error) {
-		if s.Objects, err = tree.objects.Wire(); err != nil {
+		if s.Objects, err = tree.objects.ToWire(); err != nil {
 			return nil, err
 		}
 		data, err = proto.Marshal(s)
@@ -137,7 +138,7 @@
 	if err := proto.Unmarshal(data, &s); err != nil {
 		return trace.Wrap(err)
 	}
-	o, err := Objects{}.with(s.GetObjects())
+	o, err := Objects{}.withChanges(s.GetObjects())
 	if err != nil {
 		return err
 	}
@@ -146,7 +147,7 @@
 	m.Session, m.revision, m.tree = s.GetSession(), s.GetRevision(), &Tree{o}
 	m.history, m.byID = nil, make(map[string]*wire.ChangeRecord)
 	for _, c := range s.GetHistory() {
-		m.remember(c)
+		m.appendHistory(c)
 	}
 	close(m.changed)
 	m.changed = make(chan struct{})
@@ -161,8 +162,8 @@
 	return m.tree, m.revision, m.changed
 }
 
-// Sync answers a follower: deltas where its position allows, else a snapshot.
-// Objects of the kinds in r.Without are left out.
+// Sync returns what a follower lacks: deltas if the history reaches back to its
+// position, otherwise a snapshot. Objects of the kinds in r.Without are omitted.
 func (m *Machine) Sync(r *wire.SyncRequest) (*wire.SyncReply, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -170,25 +171,25 @@
 	if r.GetSession() == m.Session && r.GetRevision() <= m.revision && m.hasDeltas(r.GetRevision()) {
 		for _, c := range m.history {
 			if c.GetRevision() > r.GetRevision() {
-				reply.Objects = append(reply.Objects, without(c.GetObjects(), r.GetWithout())...)
+				reply.Objects = append(reply.Objects, excludeKinds(c.GetObjects(), r.GetWithout())...)
 			}
 		}
 		return reply, nil
 	}
-	objects, err := m.tree.objects.Wire()
+	objects, err := m.tree.objects.ToWire()
 	if err != nil {
 		return nil, err
 	}
-	reply.Snapshot, reply.Objects = true, without(objects, r.GetWithout())
+	reply.Snapshot, reply.Objects = true, excludeKinds(objects, r.GetWithout())
 	return reply, nil
 }
 
-// hasDeltas reports whether the history holds every change after revision.
+// hasDeltas reports whether the history contains every change after revision.
 func (m *Machine) hasDeltas(revision uint64) bool {
 	return revision == m.revision || (len(m.history) > 0 && m.history[0].GetRevision() <= revision+1)
 }
 
-func without(objects []*wire.SettingsObject, kinds []string) []*wire.SettingsObject {
+func excludeKinds(objects []*wire.SettingsObject, kinds []string) []*wire.SettingsObject {
 	if len(kinds) == 0 {
 		return objects
 	}
@@ -201,7 +202,7 @@
 	return kept
 }
 
-// History returns the kept changes after a revision.
+// History returns the retained changes after a revision.
 func (m *Machine) History(r *wire.HistoryRequest) *wire.HistoryReply {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -14,7 +14,7 @@
 	"sumachead/internal/strictjson"
 )
 
-// ReadFile reads and checks a whole tree.
+// ReadFile reads and validates a complete tree.
 func ReadFile(path string) (*Tree, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return ParseTree(path, data)
 }
 
-// ParseTree checks a whole tree; name is used in errors.
+// ParseTree parses and validates a complete tree; name is used in errors.
 func ParseTree(name string, data []byte) (*Tree, error) {
 	var o Objects
 	if err := strictjson.Decode(name, data, &o); err != nil {
@@ -36,21 +36,20 @@
 	return t, nil
 }
 
-// set decodes one object of the tree and puts it at path; empty data removes
-// it.
+// set decodes one object and stores it at path; empty data removes the object.
 func (o *Objects) set(path string, data []byte) error {
 	kind, id, _ := strings.Cut(path, "/")
 	switch kind {
 	case KindBranches:
-		return setIn(o.Branches, path, id, data)
+		return setObject(o.Branches, path, id, data)
 	case KindWorkspaces:
-		return setIn(o.Workspaces, path, id, data)
+		return setObject(o.Workspaces, path, id, data)
 	case KindBudgets:
-		return setIn(o.Budgets, path, id, data)
+		return setObject(o.Budgets, path, id, data)
 	case KindPools:
-		return setIn(o.Pools, path, id, data)
+		return setObject(o.Pools, path, id, data)
 	case KindServers:
-		return setIn(o.Servers, path, id, data)
+		return setObject(o.Servers, path, id, data)
 	case KindTopups:
 		return o.setTopup(path, id, data)
 	}
@@ -62,19 +61,19 @@
 	if !ok {
 		return trace.BadParameter("%s: a top-up's path is topups/BUDGET/ID", path)
 	}
-	of := cloneMap(o.Topups[budget])
-	if err := setIn(of, path, topup, data); err != nil {
+	topups := cloneMap(o.Topups[budget])
+	if err := setObject(topups, path, topup, data); err != nil {
 		return err
 	}
-	o.Topups[budget] = of
-	if len(of) == 0 {
+	o.Topups[budget] = topups
+	if len(topups) == 0 {
 		delete(o.Topups, budget)
 	}
 	return nil
 }
 
-// setIn sets or removes one object of m.
-func setIn[T any](m map[string]T, path, id string, data []byte) error {
+// setObject sets or removes one object of m.
+func setObject[T any](m map[string]T, path, id string, data []byte) error {
 	if id == "" || strings.Contains(id, "/") {
 		return trace.BadParameter("%s: the id is empty or has a slash", path)
 	}
@@ -90,7 +89,7 @@
 	return nil
 }
 
-// cloneMap returns a copy of m that can be written to.
+// cloneMap returns a copy of m; it is never nil.
 func cloneMap[T any](m map[string]T) map[string]T {
 	if m == nil {
 		return make(map[string]T)
@@ -98,8 +97,8 @@
 	return maps.Clone(m)
 }
 
-// with returns the objects with changes made; o itself stays as it is.
-func (o Objects) with(changes []*wire.SettingsObject) (Objects, error) {
+// withChanges returns a copy of the objects with the changes applied.
+func (o Objects) withChanges(changes []*wire.SettingsObject) (Objects, error) {
 	o.Branches = cloneMap(o.Branches)
 	o.Workspaces = cloneMap(o.Workspaces)
 	o.Budgets = cloneMap(o.Budgets)
@@ -114,8 +113,8 @@
 	return o, nil
 }
 
-// Wire returns the objects as the wire has them, sorted by path.
-func (o *Objects) Wire() ([]*wire.SettingsObject, error) {
+// ToWire returns the objects as wire messages, sorted by path.
+func (o *Objects) ToWire() ([]*wire.SettingsObject, error) {
 	var out []*wire.SettingsObject
 	add := func(path string, v any) error {
 		data, err := strictjson.Encode(v)
@@ -147,13 +146,13 @@
 	return nil
 }
 
-// Diff returns the changes that turn one tree into another.
+// Diff returns the changes that turn from into to.
 func Diff(from, to *Tree) ([]*wire.SettingsObject, error) {
-	old, err := from.objects.Wire()
+	old, err := from.objects.ToWire()
 	if err != nil {
 		return nil, err
 	}
-	updated, err := to.objects.Wire()
+	updated, err := to.objects.ToWire()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"sumachead/api/wire"
 )
 
-const sound = `{
+const validTree = `{
  "branches": {"root": {"budget": "b", "pools": ["p"], "limits": {"max_time": "60s", "max_concurrent": 7}},
               "x": {"parent": "root", "limits": {"max_concurrent": 9}}},
  "workspaces": {"w": {"branch": "x", "key_sha256": ["2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae"], "limits": {"retry_percent": 0}}},
@@ -20,7 +20,7 @@
  "servers": {"s": {"pool": "p", "hall": "h", "agent": "127.0.0.1:1", "slots": 2, "epoch": 4}}
 }`
 
-func TestParseTreeNamesTheFault(t *testing.T) {
+func TestParseTreeReportsFieldAndReason(t *testing.T) {
 	tests := []struct {
 		name, old, with, want string
 	}{
@@ -43,7 +43,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := ParseTree("tree.json", []byte(strings.Replace(sound, tt.old, tt.with, 1)))
+			_, err := ParseTree("tree.json", []byte(strings.Replace(validTree, tt.old, tt.with, 1)))
 			switch {
 			case tt.want == "" && err != nil:
 				t.Error(err)
@@ -55,14 +55,14 @@
 }
 
 func TestInheritance(t *testing.T) {
-	tree, err := ParseTree("tree.json", []byte(sound))
+	tree, err := ParseTree("tree.json", []byte(validTree))
 	if err != nil {
 		t.Fatal(err)
 	}
 	v := NewView(1, tree.Objects())
 	w := v.Authenticate("foo")
 	if w == nil || v.Authenticate("bar") != nil {
-		t.Fatal("the wrong key opens the workspace, or the right one does not")
+		t.Fatal("a wrong key authenticates, or the right one does not")
 	}
 	want := ResolvedWorkspace{ID: "w", Budget: "b", Pools: w.Pools, Limits: defaultLimits}
 	want.Limits.MaxTime, want.Limits.MaxConcurrent, want.Limits.RetryPercent = time.Minute, 9, 0
@@ -84,7 +84,7 @@
 	return m.Apply(0, data).(*wire.ChangeReply)
 }
 
-func TestRacesAndResends(t *testing.T) {
+func TestConflictsAndRetries(t *testing.T) {
 	m := NewMachine("s")
 	set := func(note string) []*wire.SettingsObject {
 		return []*wire.SettingsObject{{Path: "budgets/b", Json: []byte(`{"note":"` + note + `"}`)}}
@@ -118,8 +118,8 @@
 	}
 }
 
-// A follower gets deltas where it can, a snapshot where it must, and never goes
-// back.
+// A follower gets deltas if the history reaches back to its revision and a
+// snapshot otherwise, and it rejects lower revisions.
 func TestFollower(t *testing.T) {
 	m := NewMachine("s")
 	for i, note := range []string{"1", "2", "3"} {
@@ -156,6 +156,6 @@
 		t.Fatal(v, err)
 	}
 	if _, err := f.Take(&wire.SyncReply{Session: "s", Revision: 2, Snapshot: true}); err == nil {
-		t.Error("the follower went back")
+		t.Error("the follower accepted a lower revision")
 	}
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -12,20 +12,20 @@
 	"sumachead/api/wire"
 )
 
-// hashHexLength is the length of a SHA-256 in hexadecimal.
+// hashHexLength is the length of a SHA-256 digest in hexadecimal.
 const hashHexLength = 64
 
-// Tree is a checked tree of settings. It is never changed.
+// Tree is a validated, immutable tree of settings.
 type Tree struct {
 	objects Objects
 }
 
-// EmptyTree returns the tree that a new system starts with.
+// EmptyTree returns the initial tree of a new system.
 func EmptyTree() *Tree {
 	return &Tree{Objects{Branches: map[string]Branch{RootBranch: {}}}}
 }
 
-// NewTree checks the objects and returns them as a tree.
+// NewTree validates the objects and returns them as a tree.
 func NewTree(o Objects) (*Tree, error) {
 	t := &Tree{o}
 	if err := t.check(); err != nil {
@@ -34,9 +34,9 @@
 	return t, nil
 }
 
-// FromWire returns the tree that a keeper sent whole.
+// FromWire validates and returns the complete tree sent by a keeper.
 func FromWire(objects []*wire.SettingsObject) (*Tree, error) {
-	o, err := Objects{}.with(objects)
+	o, err := Objects{}.withChanges(objects)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 
 // Get returns the JSON of one object.
 func (t *Tree) Get(path string) ([]byte, error) {
-	all, err := t.objects.Wire()
+	all, err := t.objects.ToWire()
 	if err != nil {
 		return nil, err
 	}
@@ -57,12 +57,12 @@
 	return nil, trace.NotFound("%s: no such object", path)
 }
 
-// Objects returns the tree's content; it must not be changed.
+// Objects returns the content of the tree; callers must not modify it.
 func (t *Tree) Objects() *Objects { return &t.objects }
 
-// With returns the tree with objects set or removed, if that is a sound tree.
+// With returns the tree with objects set or removed, if the result is valid.
 func (t *Tree) With(changes []*wire.SettingsObject) (*Tree, error) {
-	o, err := t.objects.with(changes)
+	o, err := t.objects.withChanges(changes)
 	if err != nil {
 		return nil, err
 	}
@@ -73,10 +73,10 @@
 	return next, t.checkEpochs(next)
 }
 
-// checkEpochs refuses a change that lowers a backend server's epoch: an old
-// owner would be let in again.
+// checkEpochs rejects a change that lowers a backend server's epoch: a fenced
+// owner would get access again.
 func (t *Tree) checkEpochs(next *Tree) error {
-	return each(next.objects.Servers, func(id string, s Server) error {
+	return forEachSorted(next.objects.Servers, func(id string, s Server) error {
 		if old := t.objects.Servers[id].Epoch; s.Epoch < old {
 			return trace.BadParameter("servers.%s.epoch: %d is below %d, which was in force", id, s.Epoch, old)
 		}
@@ -84,7 +84,7 @@
 	})
 }
 
-// check reports the first fault, in a fixed order: replicas must agree on it.
+// check reports the first error in a fixed order, as replicas must agree on it.
 func (t *Tree) check() error {
 	checks := []func() error{
 		t.checkBranches, t.checkBudgets, t.checkPools, t.checkServers, t.checkWorkspaces,
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// each calls f for the objects of m in the order of their ids.
-func each[T any](m map[string]T, f func(id string, v T) error) error {
+// forEachSorted calls f for the objects of m in ascending order of their ids.
+func forEachSorted[T any](m map[string]T, f func(id string, v T) error) error {
 	for _, id := range slices.Sorted(maps.Keys(m)) {
 		if err := f(id, m[id]); err != nil {
 			return err
@@ -112,7 +112,7 @@
 	if _, ok := o.Branches[RootBranch]; !ok {
 		return trace.BadParameter("branches.root: missing")
 	}
-	return each(o.Branches, func(id string, b Branch) error {
+	return forEachSorted(o.Branches, func(id string, b Branch) error {
 		at := "branches." + id
 		if (id == RootBranch) != (b.Parent == "") {
 			return trace.BadParameter("%s.parent: only root has no parent, and it has none", at)
@@ -153,7 +153,7 @@
 	limits := []struct {
 		name  string
 		value *int64
-		least int64
+		min   int64
 	}{
 		{"max_body_bytes", l.MaxBodyBytes, 1},
 		{"max_output_tokens", l.MaxOutputTokens, 1},
@@ -162,8 +162,8 @@
 		{"retry_percent", l.RetryPercent, 0},
 	}
 	for _, x := range limits {
-		if x.value != nil && *x.value < x.least {
-			return trace.BadParameter("%s.%s: %d is below %d", at, x.name, *x.value, x.least)
+		if x.value != nil && *x.value < x.min {
+			return trace.BadParameter("%s.%s: %d is below %d", at, x.name, *x.value, x.min)
 		}
 	}
 	if l.MaxTime != nil && l.MaxTime.Duration <= 0 {
@@ -173,11 +173,11 @@
 }
 
 func (t *Tree) checkBudgets() error {
-	return each(t.objects.Topups, func(budget string, topups map[string]Topup) error {
+	return forEachSorted(t.objects.Topups, func(budget string, topups map[string]Topup) error {
 		if _, ok := t.objects.Budgets[budget]; !ok {
 			return trace.BadParameter("topups.%s: unknown budget", budget)
 		}
-		return each(topups, func(id string, u Topup) error {
+		return forEachSorted(topups, func(id string, u Topup) error {
 			if u.Tokens < 1 {
 				return trace.BadParameter("topups.%s.%s.tokens: %d is below 1", budget, id, u.Tokens)
 			}
@@ -187,7 +187,7 @@
 }
 
 func (t *Tree) checkPools() error {
-	return each(t.objects.Pools, func(id string, p Pool) error {
+	return forEachSorted(t.objects.Pools, func(id string, p Pool) error {
 		at := "pools." + id
 		switch p.Kind {
 		case ModelPool, ServicePool:
@@ -208,7 +208,7 @@
 
 func (t *Tree) checkServers() error {
 	agents := make(map[string]string)
-	return each(t.objects.Servers, func(id string, s Server) error {
+	return forEachSorted(t.objects.Servers, func(id string, s Server) error {
 		at := "servers." + id
 		if _, ok := t.objects.Pools[string(s.Pool)]; !ok {
 			return trace.BadParameter("%s.pool: unknown pool %q", at, s.Pool)
@@ -248,7 +248,7 @@
 
 func (t *Tree) checkWorkspaces() error {
 	owners := make(map[string]string)
-	return each(t.objects.Workspaces, func(id string, w Workspace) error {
+	return forEachSorted(t.objects.Workspaces, func(id string, w Workspace) error {
 		at := "workspaces." + id
 		if _, ok := t.objects.Branches[w.Branch]; !ok {
 			return trace.BadParameter("%s.branch: unknown parent %q", at, w.Branch)
@@ -267,7 +267,7 @@
 }
 
 // Total returns the sum of a budget's top-ups, and the ids of those that a
-// data hall took while cut off.
+// data hall accepted while cut off.
 func (t *Tree) Total(budget string) (total sumachead.Tokens, hallTopups []string) {
 	for id, u := range t.objects.Topups[budget] {
 		total += u.Tokens
@@ -279,8 +279,8 @@
 	return total, hallTopups
 }
 
-// CutOffHalls lists the data halls with a server whose pool serves while cut
-// off.
+// HallsServingCutOff lists the data halls with a backend server whose pool continues
+// to serve while cut off from the keepers' quorum.
 func (t *Tree) CutOffHalls() []sumachead.HallID {
 	var halls []sumachead.HallID
 	for _, s := range t.objects.Servers {
--- a/internal/settings/view.go
+++ b/internal/settings/view.go
@@ -11,11 +11,11 @@
 	"sumachead/api/wire"
 )
 
-// CurrencyLease is how long a node may take new work after the moment for
-// which it last had proof that its settings were the newest.
+// FreshnessLease is how long a node may accept new work after the last time at
+// which its settings were proved to be the newest.
 const CurrencyLease = 5 * time.Second
 
-// ResolvedLimits are limits after inheritance.
+// ResolvedLimits are the limits of a workspace after inheritance.
 type ResolvedLimits struct {
 	MaxBodyBytes        int64
 	MaxOutputTokens     int64
@@ -25,7 +25,7 @@
 	RetryPercent        int64
 }
 
-// defaultLimits hold where no branch says otherwise.
+// defaultLimits apply where no branch or workspace sets a limit.
 var defaultLimits = ResolvedLimits{
 	MaxBodyBytes:        1 << 20,
 	MaxOutputTokens:     4096,
@@ -35,7 +35,7 @@
 	RetryPercent:        10,
 }
 
-// defaultStuckAfter holds where a pool does not say otherwise.
+// defaultStuckAfter applies where a pool sets no idle timeout.
 const defaultStuckAfter = 10 * time.Second
 
 // ResolvedWorkspace is a workspace after inheritance.
@@ -46,10 +46,10 @@
 	Limits ResolvedLimits
 }
 
-// May reports whether the workspace may use a pool.
+// CanUse reports whether the workspace may use a pool.
 func (w *ResolvedWorkspace) May(p sumachead.PoolID) bool { return slices.Contains(w.Pools, p) }
 
-// ResolvedPool is a pool with its servers.
+// ResolvedPool is a pool with its id and backend servers.
 type ResolvedPool struct {
 	ID sumachead.PoolID
 	Pool
@@ -62,8 +62,8 @@
 	Server
 }
 
-// View is one revision of the tree as routers and agents use it. It is never
-// changed.
+// View is one revision of the tree with inheritance resolved, as routers and
+// agents use it. It is immutable.
 type View struct {
 	Revision sumachead.Revision
 	pools    map[sumachead.PoolID]*ResolvedPool
@@ -77,8 +77,8 @@
 	owner *ResolvedWorkspace
 }
 
-// NewView resolves the objects of a revision. The objects come from a checked
-// tree; kinds may have been left out of them.
+// NewView resolves the objects of a revision. The objects come from a validated
+// tree; some kinds may be omitted.
 func NewView(r sumachead.Revision, o *Objects) *View {
 	v := &View{
 		Revision: r,
@@ -95,7 +95,7 @@
 }
 
 func (v *View) addPools(o *Objects) {
-	_ = each(o.Pools, func(id string, p Pool) error {
+	_ = forEachSorted(o.Pools, func(id string, p Pool) error {
 		if p.CutOff == "" {
 			p.CutOff = CutOffServe
 		}
@@ -109,7 +109,7 @@
 		}
 		return nil
 	})
-	_ = each(o.Servers, func(id string, s Server) error {
+	_ = forEachSorted(o.Servers, func(id string, s Server) error {
 		rs := ResolvedServer{ID: sumachead.ServerID(id), Server: s}
 		v.servers[rs.ID] = &rs
 		if p := v.pools[s.Pool]; p != nil {
@@ -139,13 +139,13 @@
 	}
 	rw.Limits.override(w.Limits)
 	for _, h := range w.KeySHA256 {
-		b, _ := hex.DecodeString(h) // checked by the tree
+		b, _ := hex.DecodeString(h) // validated by the tree
 		v.keys[h[:keyIndexLength]] = keyOwner{b, rw}
 	}
 }
 
-// keyIndexLength is how much of a key's hash finds it; the rest is compared in
-// constant time.
+// keyIndexLength is the length of the hash prefix by which a key is looked up;
+// the whole hash is then compared in constant time.
 const keyIndexLength = 32
 
 func (r *ResolvedLimits) override(l Limits) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// Authenticate returns the workspace that a bearer key opens, or nil.
+// Authenticate returns the workspace of a bearer key, or nil.
 func (v *View) Authenticate(key string) *ResolvedWorkspace {
 	sum := sha256.Sum256([]byte(key))
 	k, ok := v.keys[hex.EncodeToString(sum[:])[:keyIndexLength]]
@@ -184,7 +184,7 @@
 // Server returns a backend server by id, or nil.
 func (v *View) Server(id sumachead.ServerID) *ResolvedServer { return v.servers[id] }
 
-// Follower holds a node's copy of the tree and takes in what a sync brings.
+// Follower holds a node's copy of the tree and updates it from sync replies.
 // It is not safe for concurrent use; the views that it returns are.
 type Follower struct {
 	session  string
@@ -192,14 +192,14 @@
 	objects  Objects
 }
 
-// Position returns what to ask the next sync from.
+// Position returns the session and revision to send with the next sync.
 func (f *Follower) Position() (session string, revision uint64) { return f.session, f.revision }
 
-// Take applies a reply. It returns nil when nothing changed; a reply that would
-// go back to a lower revision is refused.
+// Apply applies a sync reply. It returns nil if nothing changed, and a
+// StaleRevisionError if the reply has a lower revision.
 func (f *Follower) Take(r *wire.SyncReply) (*View, error) {
 	if r.GetRevision() < f.revision {
-		return nil, &RevertError{Have: f.revision, Got: r.GetRevision()}
+		return nil, &StaleRevisionError{Have: f.revision, Got: r.GetRevision()}
 	}
 	if !r.GetSnapshot() && r.GetRevision() == f.revision {
 		return nil, nil
@@ -208,7 +208,7 @@
 	if r.GetSnapshot() {
 		base = Objects{}
 	}
-	o, err := base.with(r.GetObjects())
+	o, err := base.withChanges(r.GetObjects())
 	if err != nil {
 		return nil, err
 	}
