--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the settings file of one process: its role, its
-// addresses and its data hall. What operators change while the system runs
-// stands in the settings tree instead (package settings).
+// Package config reads the settings file of one process: its role, addresses
+// and data hall. Settings that operators change while the system runs are in
+// the settings tree instead (package settings).
 package config
 
 import (
@@ -19,10 +19,10 @@
 	"sumachead/internal/strictjson"
 )
 
-// Role says what a process does.
+// Role is what a process does in the system.
 type Role string
 
-// The roles.
+// The roles of a process.
 const (
 	RoleRouter Role = "router"
 	RoleAgent  Role = "agent"
@@ -32,62 +32,63 @@
 // Config is the settings file of one process.
 type Config struct {
 	Role     Role             `json:"role" doc:"router, agent or keeper."`
-	Node     sumachead.NodeID `json:"node" doc:"Name of this process, unique in the system."`
-	Hall     sumachead.HallID `json:"hall" doc:"Data hall that the process stands in."`
-	RPC      string           `json:"rpc,omitempty" doc:"Address for calls of other processes, host:port (agent and keeper)."`
-	HTTP     string           `json:"http" doc:"Address for callers (router), health and metrics, host:port."`
-	DialFrom string           `json:"dial_from,omitempty" doc:"Local IP address to call other processes from, on a host with several."`
-	LogLevel string           `json:"log_level,omitempty" doc:"debug, info (when left out), warn or error."`
+	Node     sumachead.NodeID `json:"node" doc:"Name of the process, unique in the system."`
+	Hall     sumachead.HallID `json:"hall" doc:"Data hall that the process runs in."`
+	RPC      string           `json:"rpc,omitempty" doc:"Listen address for RPC from other processes, host:port (agent and keeper)."`
+	HTTP     string           `json:"http" doc:"Listen address for callers (router), health checks and metrics, host:port."`
+	DialFrom string           `json:"dial_from,omitempty" doc:"Local IP address of outgoing connections to other processes, for hosts with several addresses."`
+	LogLevel string           `json:"log_level,omitempty" doc:"debug, info (default), warn or error."`
 	Keepers  []Keeper         `json:"keepers" doc:"All keepers of the system."`
-	Data     string           `json:"data,omitempty" doc:"Data folder (keeper)."`
-	// PresumeAfter is how long after its deadline an entry that no witness
-	// settled is billed by presumption.
-	PresumeAfter settings.Duration `json:"presume_after,omitzero" doc:"How long after its deadline a request that nobody has settled is billed its upper bound (keeper); 60s when left out."`
-	Agent        *Agent            `json:"agent,omitempty" doc:"What the agent stands beside (agent)."`
-	// Allotments and Placement are for measuring against the baselines.
-	Allotments string `json:"allotments,omitempty" doc:"demand (when left out), equal, central or leases (keeper): how data halls' allotments are sized; all but demand are baselines."`
-	Placement  string `json:"placement,omitempty" doc:"weighted (when left out), round_robin or least_outstanding (router)."`
-	TLS        TLS    `json:"tls" doc:"TLS between processes and towards callers."`
+	Data     string           `json:"data,omitempty" doc:"Data directory (keeper)."`
+	// PresumeAfter is how long after its deadline an unsettled ledger entry is
+	// presumed to have run and billed.
+	PresumeAfter settings.Duration `json:"presume_after,omitzero" doc:"Time after its deadline at which an unsettled request is billed its upper bound (keeper); 60s if omitted."`
+	Agent        *Agent            `json:"agent,omitempty" doc:"Backend server of the agent (agent)."`
+	// Allotments and Placement select baseline policies for comparison.
+	Allotments string `json:"allotments,omitempty" doc:"demand (default), equal, central or leases (keeper): how allotments of data halls are sized; all but demand are baselines."`
+	Placement  string `json:"placement,omitempty" doc:"weighted (default), round_robin or least_outstanding (router): load-balancing policy."`
+	TLS        TLS    `json:"tls" doc:"TLS between processes and with callers."`
 }
 
-// Keeper is one keeper's address.
+// Keeper is the identity and address of a keeper.
 type Keeper struct {
 	ID      string           `json:"id" doc:"Node name of the keeper."`
 	Hall    sumachead.HallID `json:"hall" doc:"Data hall of the keeper."`
-	Address string           `json:"address" doc:"Its rpc address, host:port."`
+	Address string           `json:"address" doc:"RPC address of the keeper, host:port."`
 }
 
-// Agent says what an agent stands beside.
+// Agent configures an agent and its backend server.
 type Agent struct {
 	Server        sumachead.ServerID `json:"server" doc:"Id of the backend server in the settings tree."`
 	Backend       string             `json:"backend" doc:"Base URL of the backend server."`
-	RetainedBytes int64              `json:"retained_bytes,omitempty" doc:"Most bytes of finished answers kept for retries; 8388608 when left out."`
+	RetainedBytes int64              `json:"retained_bytes,omitempty" doc:"Maximum bytes of complete responses retained for retries; 8388608 if omitted."`
 }
 
-// Client is the settings file of the tool.
+// Client is the settings file of the operators' command-line tool.
 type Client struct {
 	Keepers []Keeper `json:"keepers" doc:"All keepers of the system."`
-	TLS     TLS      `json:"tls" doc:"TLS towards the keepers."`
+	TLS     TLS      `json:"tls" doc:"TLS with the keepers."`
 }
 
-// TLS names the files of a process. Certificates are read again when they
-// change.
+// TLS names the certificate files of a process. Certificates are reloaded when
+// the files change.
 type TLS struct {
-	Off        bool   `json:"off,omitempty" doc:"Runs without TLS; the files are then left out."`
-	CA         string `json:"ca,omitempty" doc:"PEM file of the authority that signs all processes' certificates."`
-	Cert       string `json:"cert,omitempty" doc:"PEM file of this process's certificate."`
-	Key        string `json:"key,omitempty" doc:"PEM file of its key."`
-	CallerCert string `json:"caller_cert,omitempty" doc:"PEM file of the certificate shown to callers (router); cert when left out."`
-	CallerKey  string `json:"caller_key,omitempty" doc:"PEM file of its key."`
+	Off        bool   `json:"off,omitempty" doc:"Disables TLS; the files must then be omitted."`
+	CA         string `json:"ca,omitempty" doc:"PEM file of the certificate authority that signs the certificates of all processes."`
+	Cert       string `json:"cert,omitempty" doc:"PEM file of the process's certificate."`
+	Key        string `json:"key,omitempty" doc:"PEM file of the private key of cert."`
+	CallerCert string `json:"caller_cert,omitempty" doc:"PEM file of the certificate presented to callers (router); cert if omitted."`
+	CallerKey  string `json:"caller_key,omitempty" doc:"PEM file of the private key of caller_cert."`
 }
 
-// defaultPresumeAfter is how long witnesses of a run have to settle it.
+// defaultPresumeAfter leaves the processes that know a request's outcome time
+// to settle it.
 const defaultPresumeAfter = time.Minute
 
-// defaultRetainedBytes is what an agent keeps of finished answers.
+// defaultRetainedBytes bounds the complete responses that an agent retains.
 const defaultRetainedBytes = 8 << 20
 
-// ReadFile reads and checks a settings file.
+// ReadFile reads and validates the settings file of a process.
 func ReadFile(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return c, nil
 }
 
-// ReadClientFile reads and checks the tool's settings file.
+// ReadClientFile reads and validates the settings file of the tool.
 func ReadClientFile(path string) (*Client, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -122,7 +123,7 @@
 }
 
 func (c *Config) check() error {
-	checks := []func() error{c.checkNode, c.checkRole, c.checkSelf, c.TLS.check}
+	checks := []func() error{c.checkCommon, c.checkRole, c.checkMembership, c.TLS.check}
 	for _, f := range checks {
 		if err := f(); err != nil {
 			return err
@@ -131,7 +132,7 @@
 	return nil
 }
 
-func (c *Config) checkNode() error {
+func (c *Config) checkCommon() error {
 	if c.Node == "" {
 		return trace.BadParameter("node: missing")
 	}
@@ -144,7 +145,7 @@
 	switch c.LogLevel {
 	case "", "debug", "info", "warn", "error":
 	default:
-		return trace.BadParameter("log_level: %q is not a level", c.LogLevel)
+		return trace.BadParameter("log_level: %q is not a log level", c.LogLevel)
 	}
 	return checkAddress("http", c.HTTP)
 }
@@ -200,14 +201,15 @@
 	return nil
 }
 
-// checkSelf checks the keepers, and that a keeper is one of them.
-func (c *Config) checkSelf() error {
+// checkMembership checks the list of keepers and, for a keeper, that the list
+// includes it.
+func (c *Config) checkMembership() error {
 	if err := checkKeepers(c.Keepers); err != nil {
 		return err
 	}
 	isSelf := func(k Keeper) bool { return k.ID == string(c.Node) }
 	if c.Role == RoleKeeper && !slices.ContainsFunc(c.Keepers, isSelf) {
-		return trace.BadParameter("keepers: this node, %q, is not among them", c.Node)
+		return trace.BadParameter("keepers: this node, %q, is not in the list", c.Node)
 	}
 	return nil
 }
@@ -239,7 +241,7 @@
 func (t *TLS) check() error {
 	if t.Off {
 		if t.CA+t.Cert+t.Key+t.CallerCert+t.CallerKey != "" {
-			return trace.BadParameter("tls.off: files are named although TLS is off")
+			return trace.BadParameter("tls.off: certificate files are set although TLS is off")
 		}
 		return nil
 	}
@@ -250,7 +252,7 @@
 		}
 	}
 	if (t.CallerCert == "") != (t.CallerKey == "") {
-		return trace.BadParameter("tls.caller_cert: goes with tls.caller_key")
+		return trace.BadParameter("tls.caller_cert: requires tls.caller_key, and vice versa")
 	}
 	return nil
 }
