--- a/internal/tool/budget.go
+++ b/internal/tool/budget.go
@@ -13,8 +13,8 @@
 	"sumachead/internal/strictjson"
 )
 
-// lookup asks the ledger.
-func lookup(ctx context.Context, c *keeperclient.Client, r *wire.LookupRequest) (*wire.LookupReply, error) {
+// lookupLedger reads budgets or entries from the ledger.
+func lookupLedger(ctx context.Context, c *keeperclient.Client, r *wire.LookupRequest) (*wire.LookupReply, error) {
 	return keeperclient.Call[wire.LookupReply](ctx, c, keeperclient.GroupLedger, "Ledger.Lookup", r)
 }
 
@@ -27,11 +27,11 @@
 
 // Execute implements flags.Commander.
 func (s *budgetShow) Execute([]string) error {
-	return s.app.with(s.run)
+	return s.app.withClient(s.run)
 }
 
 func (s *budgetShow) run(ctx context.Context, c *keeperclient.Client) error {
-	reply, err := lookup(ctx, c, &wire.LookupRequest{Budget: s.Args.Budget})
+	reply, err := lookupLedger(ctx, c, &wire.LookupRequest{Budget: s.Args.Budget})
 	if err != nil {
 		return err
 	}
@@ -52,19 +52,19 @@
 
 type budgetTopup struct {
 	app  *app
-	ID   string `long:"id" description:"id of the top-up; a repeated one changes nothing"`
-	Hall string `long:"hall" description:"data hall that takes the top-up itself, for while it is cut off"`
+	ID   string `long:"id" description:"id of the top-up, which makes it idempotent"`
+	Hall string `long:"hall" description:"data hall that accepts the top-up itself, for use while it is cut off"`
 	Args struct {
 		Budget string           `positional-arg-name:"BUDGET" required:"true"`
 		Tokens sumachead.Tokens `positional-arg-name:"TOKENS" required:"true"`
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute implements flags.Commander. A top-up adds an object of its own to
-// the tree, so that it never conflicts with another change: it is made again
-// on the newest revision until it is in.
+// Execute implements flags.Commander. A top-up adds an object of its own to the
+// tree and so can't contradict other changes: on a conflict it is retried
+// against the newest revision.
 func (s *budgetTopup) Execute([]string) error {
-	return s.app.with(s.run)
+	return s.app.withClient(s.run)
 }
 
 func (s *budgetTopup) run(ctx context.Context, c *keeperclient.Client) error {
@@ -72,7 +72,7 @@
 		s.ID = "t-" + uuid.NewString()
 	}
 	if s.Hall != "" {
-		return s.toHall(ctx, c)
+		return s.topupHall(ctx, c)
 	}
 	data, err := strictjson.Encode(settings.Topup{Tokens: s.Args.Tokens})
 	if err != nil {
@@ -89,28 +89,28 @@
 			return err
 		}
 		if have, err := t.Get(path); err == nil {
-			return s.exists(have, data)
+			return s.reportExisting(have, data)
 		}
 		r.BaseRevision = revision
 		reply, err := sendChange(ctx, c, r)
 		if err != nil {
-			return exit(ExitFailed, "the answer was lost; repeat the command with --id %s: %w", s.ID, err)
+			return exitErrorf(ExitFailed, "no response; retry with --id %s: %w", s.ID, err)
 		}
 		if reply.GetStatus() != wire.ChangeStatus_CHANGE_STATUS_CONFLICT {
-			return s.app.outcome(r, reply)
+			return s.app.reportOutcome(r, reply)
 		}
 	}
 }
 
-// toHall gives the top-up to a hall's journal. The id belongs to the hall, so
-// that a repetition finds the same journal.
-func (s *budgetTopup) toHall(ctx context.Context, c *keeperclient.Client) error {
+// topupHall sends the top-up to the journal of a data hall. The hall is part of
+// the id, so that a retry reaches the same journal.
+func (s *budgetTopup) topupHall(ctx context.Context, c *keeperclient.Client) error {
 	h := sumachead.HallID(s.Hall)
 	id := keeperclient.HallKey(h, s.ID)
 	_, err := keeperclient.CallHall[wire.Empty](ctx, c, h, "Hall.Topup",
 		&wire.HallTopupRequest{Budget: s.Args.Budget, TopupId: id, Tokens: int64(s.Args.Tokens)})
 	if err != nil {
-		return exit(ExitFailed, "repeat the command with --id %s: %w", s.ID, err)
+		return exitErrorf(ExitFailed, "retry with --id %s: %w", s.ID, err)
 	}
 	s.app.printf("top-up %s is in force in %s\n", id, h)
 	return nil
@@ -127,7 +127,7 @@
 
 // Execute implements flags.Commander.
 func (s *budgetWriteOff) Execute([]string) error {
-	return s.app.with(s.run)
+	return s.app.withClient(s.run)
 }
 
 func (s *budgetWriteOff) run(ctx context.Context, c *keeperclient.Client) error {
@@ -136,9 +136,9 @@
 	return err
 }
 
-func (s *budgetTopup) exists(have, want []byte) error {
+func (s *budgetTopup) reportExisting(have, want []byte) error {
 	if string(have) != string(want) {
-		return exit(ExitConflict, "top-up %s exists with other content: %s", s.ID, have)
+		return exitErrorf(ExitConflict, "top-up %s exists with other content: %s", s.ID, have)
 	}
 	s.app.printf("top-up %s is in force already\n", s.ID)
 	return nil
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -11,20 +11,20 @@
 	"sumachead/internal/rpc"
 )
 
-// fleetKeepers names the keepers of a declared fleet.
-type fleetKeepers struct {
-	Keepers []string `long:"keeper" required:"true" description:"address at which a keeper takes what other processes say, HOST:PORT; several for when some are down"`
+// fleetOptions are the options of commands for a declared fleet.
+type fleetOptions struct {
+	Keepers []string `long:"keeper" required:"true" description:"RPC address of a keeper, HOST:PORT; may be repeated, as some keepers may be down"`
 }
 
-// callLeader calls the keeper that leads: one of those that are named, or one that these name.
-func callLeader[R any](a *app, k *fleetKeepers, method string, args proto.Message) (*R, error) {
+// callLeader calls the leading keeper, which is one of the given keepers or one that they name.
+func callLeader[R any](a *app, k *fleetOptions, method string, args proto.Message) (*R, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
 	pool := &rpc.Pool{}
 	defer pool.Close()
 	var failures []error
 	for _, keeper := range k.Keepers {
-		reply, err := callOrFollow[R](ctx, pool, keeper, method, args)
+		reply, err := callWithRedirect[R](ctx, pool, keeper, method, args)
 		if err == nil {
 			return reply, nil
 		}
@@ -33,8 +33,8 @@
 	return nil, errors.Join(failures...)
 }
 
-// callOrFollow calls a keeper, or the one that it names as leading.
-func callOrFollow[R any](ctx context.Context, pool *rpc.Pool, keeper, method string, args proto.Message) (*R, error) {
+// callWithRedirect calls a keeper, and the leader if the keeper's reply names another one.
+func callWithRedirect[R any](ctx context.Context, pool *rpc.Pool, keeper, method string, args proto.Message) (*R, error) {
 	const askTimeout = 2 * time.Second
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/internal/tool/settings.go
+++ b/internal/tool/settings.go
@@ -26,32 +26,32 @@
 	return t, reply.GetRevision(), err
 }
 
-// change sends a change and reports how it ended.
-func (a *app) change(ctx context.Context, c *keeperclient.Client, r *wire.ChangeRequest) error {
+// submitChange sends a change and reports its outcome.
+func (a *app) submitChange(ctx context.Context, c *keeperclient.Client, r *wire.ChangeRequest) error {
 	if r.GetChangeId() == "" {
 		r.ChangeId = uuid.NewString()
 	}
 	r.Author, r.AtUnixNano = author(), time.Now().UnixNano()
 	reply, err := sendChange(ctx, c, r)
 	if err != nil {
-		return exit(ExitFailed, "the answer was lost; the change may be in force. Send it again with --change-id %s: %w", r.GetChangeId(), err)
+		return exitErrorf(ExitFailed, "no response; the change may be in force. Retry with --change-id %s: %w", r.GetChangeId(), err)
 	}
 	if a.JSON {
 		if err := a.printProto(reply); err != nil {
 			return err
 		}
 	}
-	return a.outcome(r, reply)
+	return a.reportOutcome(r, reply)
 }
 
-// sendChange waits longer for one answer than other calls do: it comes when
-// the change is in force everywhere.
+// sendChange sends a change. Its timeout is longer than that of other calls, as
+// the response arrives only when the change is in force everywhere.
 func sendChange(ctx context.Context, c *keeperclient.Client, r *wire.ChangeRequest) (*wire.ChangeReply, error) {
 	const answerTimeout = 12 * time.Second
 	return keeperclient.CallWithin[wire.ChangeReply](ctx, c, answerTimeout, keeperclient.GroupSettings, "Settings.Change", r)
 }
 
-func (a *app) outcome(r *wire.ChangeRequest, reply *wire.ChangeReply) error {
+func (a *app) reportOutcome(r *wire.ChangeRequest, reply *wire.ChangeReply) error {
 	switch reply.GetStatus() {
 	case wire.ChangeStatus_CHANGE_STATUS_ACCEPTED:
 		if !a.JSON {
@@ -59,12 +59,12 @@
 		}
 		return nil
 	case wire.ChangeStatus_CHANGE_STATUS_COMMITTED:
-		return exit(ExitPending, "revision %d is committed, but not yet in force at: %v (change id %s)", reply.GetRevision(), reply.GetWaitingFor(), r.GetChangeId())
+		return exitErrorf(ExitPending, "revision %d is committed, but not yet in force at: %v (change id %s)", reply.GetRevision(), reply.GetWaitingFor(), r.GetChangeId())
 	case wire.ChangeStatus_CHANGE_STATUS_CONFLICT:
 		w := reply.GetWinner()
-		return exit(ExitConflict, "conflict: %s; revision %d is change %s by %s", reply.GetDetail(), w.GetRevision(), w.GetChangeId(), w.GetAuthor())
+		return exitErrorf(ExitConflict, "conflict: %s; revision %d is change %s by %s", reply.GetDetail(), w.GetRevision(), w.GetChangeId(), w.GetAuthor())
 	}
-	return exit(ExitUsage, "invalid: %s", reply.GetDetail())
+	return exitErrorf(ExitUsage, "invalid: %s", reply.GetDetail())
 }
 
 func author() string {
@@ -78,13 +78,13 @@
 type settingsGet struct {
 	app  *app
 	Args struct {
-		Path string `positional-arg-name:"PATH" description:"object, as in pools/assistant"`
+		Path string `positional-arg-name:"PATH" description:"path of an object, as in pools/assistant"`
 	} `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
 func (s *settingsGet) Execute([]string) error {
-	return s.app.with(s.run)
+	return s.app.withClient(s.run)
 }
 
 func (s *settingsGet) run(ctx context.Context, c *keeperclient.Client) error {
@@ -107,9 +107,9 @@
 }
 
 type changeOptions struct {
-	ChangeID string   `long:"change-id" description:"id of the change; repeat it to send the same change again"`
-	Base     *uint64  `long:"base" description:"revision that the change was made against; the newest when left out"`
-	Down     []string `long:"hall-down" description:"data hall that is known to be down: do not wait for it"`
+	ChangeID  string   `long:"change-id" description:"id of the change; use the same id to retry a change"`
+	Base      *uint64  `long:"base" description:"revision that the change is based on; the newest if omitted"`
+	HallsDown []string `long:"hall-down" description:"data hall that is known to be down and not waited for; may be repeated"`
 }
 
 type settingsSet struct {
@@ -125,9 +125,9 @@
 // Execute implements flags.Commander.
 func (s *settingsSet) Execute([]string) error {
 	if s.Remove != (s.Args.JSON == "") {
-		return exit(ExitUsage, "give either the object's JSON or --remove")
+		return exitErrorf(ExitUsage, "give either the object's JSON or --remove")
 	}
-	return s.app.with(s.run)
+	return s.app.withClient(s.run)
 }
 
 func (s *settingsSet) run(ctx context.Context, c *keeperclient.Client) error {
@@ -139,8 +139,8 @@
 		}
 		base = &revision
 	}
-	return s.app.change(ctx, c, &wire.ChangeRequest{
-		ChangeId: s.ChangeID, BaseRevision: *base, HallsDown: s.Down,
+	return s.app.submitChange(ctx, c, &wire.ChangeRequest{
+		ChangeId: s.ChangeID, BaseRevision: *base, HallsDown: s.HallsDown,
 		Objects: []*wire.SettingsObject{{Path: s.Args.Path, Json: []byte(s.Args.JSON)}},
 	})
 }
@@ -148,9 +148,9 @@
 type settingsApply struct {
 	app *app
 	changeOptions
-	DryRun bool `long:"dry-run" description:"show the difference only"`
-	Topups bool `long:"remove-topups" description:"also remove top-ups that the file does not have"`
-	Args   struct {
+	DryRun       bool `long:"dry-run" description:"only show the difference"`
+	RemoveTopups bool `long:"remove-topups" description:"also remove top-ups that are not in the file"`
+	Args         struct {
 		File string `positional-arg-name:"FILE" required:"true"`
 	} `positional-args:"true" required:"true"`
 }
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	return s.app.with(func(ctx context.Context, c *keeperclient.Client) error { return s.run(ctx, c, want) })
+	return s.app.withClient(func(ctx context.Context, c *keeperclient.Client) error { return s.run(ctx, c, want) })
 }
 
 func (s *settingsApply) run(ctx context.Context, c *keeperclient.Client, want *settings.Tree) error {
@@ -173,8 +173,8 @@
 	if err != nil {
 		return err
 	}
-	if !s.Topups {
-		changes = keepTopups(changes)
+	if !s.RemoveTopups {
+		changes = dropTopupRemovals(changes)
 	}
 	s.show(have, changes)
 	if s.DryRun || len(changes) == 0 {
@@ -183,12 +183,12 @@
 	if s.Base != nil {
 		revision = *s.Base
 	}
-	return s.app.change(ctx, c, &wire.ChangeRequest{ChangeId: s.ChangeID, BaseRevision: revision, Objects: changes, HallsDown: s.Down})
+	return s.app.submitChange(ctx, c, &wire.ChangeRequest{ChangeId: s.ChangeID, BaseRevision: revision, Objects: changes, HallsDown: s.HallsDown})
 }
 
-// keepTopups drops removals of top-ups: those that operators made on the
-// command line need not be in the file.
-func keepTopups(changes []*wire.SettingsObject) []*wire.SettingsObject {
+// dropTopupRemovals filters out removals of top-ups, as top-ups made with the
+// budget command are usually not in the file.
+func dropTopupRemovals(changes []*wire.SettingsObject) []*wire.SettingsObject {
 	var kept []*wire.SettingsObject
 	for _, c := range changes {
 		if len(c.GetJson()) > 0 || settings.Kind(c.GetPath()) != settings.KindTopups {
@@ -217,13 +217,13 @@
 
 type settingsHistory struct {
 	app   *app
-	From  uint64 `long:"from" description:"list the changes after this revision"`
-	Limit uint32 `long:"limit" description:"list so many at most"`
+	From  uint64 `long:"from" description:"list changes after this revision"`
+	Limit uint32 `long:"limit" description:"maximum number of changes to list"`
 }
 
 // Execute implements flags.Commander.
 func (s *settingsHistory) Execute([]string) error {
-	return s.app.with(s.run)
+	return s.app.withClient(s.run)
 }
 
 func (s *settingsHistory) run(ctx context.Context, c *keeperclient.Client) error {
@@ -255,10 +255,10 @@
 func (s *settingsCheck) Execute([]string) error {
 	_, err := settings.ReadFile(s.Args.File)
 	if errors.Is(err, os.ErrNotExist) || trace.IsNotFound(err) {
-		return exit(ExitUsage, "%s: no such file", s.Args.File)
+		return exitErrorf(ExitUsage, "%s: no such file", s.Args.File)
 	}
 	if err == nil && !s.app.JSON {
-		s.app.printf("%s is sound\n", s.Args.File)
+		s.app.printf("%s is valid\n", s.Args.File)
 	}
 	return err
 }
--- a/internal/tool/status.go
+++ b/internal/tool/status.go
@@ -10,7 +10,7 @@
 
 type status struct{ app *app }
 
-// keeperStatus is what one keeper told, or why it did not.
+// keeperStatus is the status reply of one keeper, or the error of the call.
 type keeperStatus struct {
 	id    string
 	reply *wire.StatusReply
@@ -19,29 +19,29 @@
 
 // Execute implements flags.Commander.
 func (s *status) Execute([]string) error {
-	return s.app.with(s.run)
+	return s.app.withClient(s.run)
 }
 
 func (s *status) run(ctx context.Context, c *keeperclient.Client) error {
-	var answers []keeperStatus
+	var statuses []keeperStatus
 	reached := 0
 	for _, k := range c.Keepers {
 		const askTimeout = time.Second
 		askCtx, stop := context.WithTimeout(ctx, askTimeout)
 		reply, err := keeperclient.CallKeeper[wire.StatusReply](askCtx, c, k, "Keeper.Status", &wire.Empty{})
 		stop()
-		answers = append(answers, keeperStatus{k.ID, reply, err})
+		statuses = append(statuses, keeperStatus{k.ID, reply, err})
 		if err == nil {
 			reached++
 		}
 	}
-	for _, a := range answers {
+	for _, a := range statuses {
 		if err := s.print(a); err != nil {
 			return err
 		}
 	}
 	if reached <= len(c.Keepers)/2 {
-		return exit(ExitFailed, "only %d of %d keepers answer", reached, len(c.Keepers))
+		return exitErrorf(ExitFailed, "only %d of %d keepers respond", reached, len(c.Keepers))
 	}
 	return nil
 }
@@ -67,14 +67,14 @@
 		}
 	}
 	for _, n := range a.reply.GetNodes() {
-		s.app.printf("  %-7s %-12s in %-8s has revision %d, heard of %d ms ago\n", n.GetRole(), n.GetNode(), n.GetHall(), n.GetRevision(), n.GetAgeMillis())
+		s.app.printf("  %-7s %-12s in %-8s has revision %d, last seen %d ms ago\n", n.GetRole(), n.GetNode(), n.GetHall(), n.GetRevision(), n.GetAgeMillis())
 	}
 	return nil
 }
 
-type entries struct {
+type entriesCommand struct {
 	app   *app
-	Limit uint32 `long:"limit" default:"50" description:"print so many at most"`
+	Limit uint32 `long:"limit" default:"50" description:"maximum number of entries to print"`
 	Args  struct {
 		Workspace string `positional-arg-name:"WORKSPACE" required:"true"`
 		Key       string `positional-arg-name:"KEY"`
@@ -82,12 +82,12 @@
 }
 
 // Execute implements flags.Commander.
-func (s *entries) Execute([]string) error {
-	return s.app.with(s.run)
+func (s *entriesCommand) Execute([]string) error {
+	return s.app.withClient(s.run)
 }
 
-func (s *entries) run(ctx context.Context, c *keeperclient.Client) error {
-	reply, err := lookup(ctx, c, &wire.LookupRequest{
+func (s *entriesCommand) run(ctx context.Context, c *keeperclient.Client) error {
+	reply, err := lookupLedger(ctx, c, &wire.LookupRequest{
 		Workspace: s.Args.Workspace, Key: s.Args.Key, Limit: s.Limit, Budget: "-",
 	})
 	if err != nil {
@@ -112,7 +112,7 @@
 
 // Execute implements flags.Commander.
 func (s *keeperRemove) Execute([]string) error {
-	return s.app.with(s.run)
+	return s.app.withClient(s.run)
 }
 
 func (s *keeperRemove) run(ctx context.Context, c *keeperclient.Client) error {
--- a/internal/tool/suspects.go
+++ b/internal/tool/suspects.go
@@ -8,11 +8,11 @@
 	"sumachead/api/wire"
 )
 
-// suspectsShow prints the requests of a declared fleet that end servers, or clears one.
+// suspectsShow prints the requests of a declared fleet that crash servers, or clears one.
 type suspectsShow struct {
 	app *app
-	fleetKeepers
-	Clear string `long:"clear" value-name:"FINGERPRINT" description:"hold nothing against this request any more"`
+	fleetOptions
+	Clear string `long:"clear" value-name:"FINGERPRINT" description:"clear this request"`
 }
 
 // Execute implements flags.Commander.
@@ -20,20 +20,20 @@
 	if s.Clear != "" {
 		return s.clear()
 	}
-	list, err := callLeader[wire.Suspects](s.app, &s.fleetKeepers, "Fleet.Suspects", &wire.Empty{})
+	list, err := callLeader[wire.Suspects](s.app, &s.fleetOptions, "Fleet.Suspects", &wire.Empty{})
 	if err != nil {
 		return err
 	}
 	return s.print(list)
 }
 
-// clear lifts what is held against a request.
+// clear lifts the suspicion or bar on a request.
 func (s *suspectsShow) clear() error {
 	f, err := hex.DecodeString(s.Clear)
 	if err != nil || len(f) != len(sumachead.Fingerprint{}) {
-		return exit(ExitUsage, "a fingerprint has 32 digits, as the lines show it")
+		return exitErrorf(ExitUsage, "a fingerprint has 32 hexadecimal digits, as printed without --clear")
 	}
-	_, err = callLeader[wire.Suspects](s.app, &s.fleetKeepers, "Fleet.Ended", &wire.EndsReport{Node: "operator", Survived: [][]byte{f}})
+	_, err = callLeader[wire.Suspects](s.app, &s.fleetOptions, "Fleet.Ended", &wire.EndsReport{Node: "operator", Survived: [][]byte{f}})
 	return err
 }
 
@@ -48,8 +48,8 @@
 		s.app.printf("nothing is held against any request\n")
 	}
 	for _, x := range list.GetSuspects() {
-		s.app.printf("%s: %s since %s; servers that ended: %s\n", hex.EncodeToString(x.GetFingerprint()), words[x.GetStanding()],
-			since(x.GetSinceUnixMillis()), strings.Join(x.GetServers(), " "))
+		s.app.printf("%s: %s since %s; crashed servers: %s\n", hex.EncodeToString(x.GetFingerprint()), words[x.GetStanding()],
+			formatTime(x.GetSinceUnixMillis()), strings.Join(x.GetServers(), " "))
 	}
 	return nil
 }
--- a/internal/tool/tls.go
+++ b/internal/tool/tls.go
@@ -4,8 +4,8 @@
 
 type tlsInit struct {
 	app       *app
-	Dir       string   `long:"dir" required:"true" description:"folder of the authority; made when missing"`
-	Addresses []string `long:"address" description:"IP number or host name that the certificates are good for; may be repeated"`
+	Dir       string   `long:"dir" required:"true" description:"directory of the certificate authority; created if missing"`
+	Addresses []string `long:"address" description:"IP address or DNS name that the certificates are valid for; may be repeated"`
 	Args      struct {
 		Names []string `positional-arg-name:"NAME" required:"1"`
 	} `positional-args:"true" required:"true"`
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -1,6 +1,6 @@
-// Package tool is the command-line tool of operators: it reads and changes the
-// settings tree, shows budgets, entries and the state of the system, and runs
-// loads. Each command has a file of its own.
+// Package tool implements the operators' command-line tool. It reads and changes
+// the settings tree, shows budgets, ledger entries and the status of the system,
+// and generates load.
 package tool
 
 import (
@@ -25,19 +25,21 @@
 // Exit codes of the tool.
 const (
 	ExitOK = 0
-	// ExitFailed: the system was not reached, or refused.
+	// ExitFailed means that the system was unreachable or refused the request.
 	ExitFailed = 1
-	// ExitUsage: the command line or a file is at fault; nothing was changed.
+	// ExitUsage means that the command line or a file is invalid; nothing was
+	// changed.
 	ExitUsage = 2
-	// ExitConflict: another change came first.
+	// ExitConflict means that another change was committed first.
 	ExitConflict = 3
-	// ExitPending: the change is committed, but not yet in force everywhere.
+	// ExitPending means that the change is committed, but not yet in force
+	// everywhere.
 	ExitPending = 4
-	// ExitFigures: a load ran, but a figure is off.
-	ExitFigures = 5
+	// ExitOverspend means that a load ran and overspent its budget.
+	ExitOverspend = 5
 )
 
-// exitError carries an exit code.
+// exitError is an error with an exit code.
 type exitError struct {
 	code int
 	err  error
@@ -45,40 +47,40 @@
 
 func (e *exitError) Error() string { return trace.UserMessage(e.err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-func exit(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return &exitError{code, fmt.Errorf(format, args...)}
 }
 
-// globals are the options of all commands.
-type globals struct {
-	Config  string        `long:"config" env:"SUMACHEAD_CONFIG" description:"the tool's settings file (JSON: keepers, tls)"`
+// globalOptions are the options that all commands share.
+type globalOptions struct {
+	Config  string        `long:"config" env:"SUMACHEAD_CONFIG" description:"settings file of the tool (JSON: keepers, tls)"`
 	JSON    bool          `long:"json" description:"print JSON"`
-	Timeout time.Duration `long:"timeout" default:"15s" description:"how long to try"`
+	Timeout time.Duration `long:"timeout" default:"15s" description:"timeout of the command"`
 }
 
-// app is what the commands share.
+// app is the state that all commands share.
 type app struct {
-	globals
+	globalOptions
 	out io.Writer
 }
 
-// Run runs a command line and returns the exit code.
+// Run executes a command line and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
 	a := &app{out: out}
-	p := flags.NewParser(&a.globals, flags.HelpFlag|flags.PassDoubleDash)
+	p := flags.NewParser(&a.globalOptions, flags.HelpFlag|flags.PassDoubleDash)
 	p.Name = "sumachead"
 	if err := addCommands(p, a); err != nil {
 		_, _ = fmt.Fprintln(errOut, err)
 		return ExitUsage
 	}
 	_, err := p.ParseArgs(args)
-	return report(err, out, errOut)
+	return reportError(err, out, errOut)
 }
 
-func report(err error, out, errOut io.Writer) int {
+func reportError(err error, out, errOut io.Writer) int {
 	var usage *flags.Error
 	var coded *exitError
 	switch {
@@ -101,13 +103,13 @@
 	return ExitFailed
 }
 
-// The commands that others stand below.
+// Commands that have subcommands.
 const (
 	groupSettings = "settings"
 	groupBudget   = "budget"
 )
 
-// command is one row of the table of commands.
+// command describes a command or subcommand.
 type command struct {
 	parent string
 	name   string
@@ -120,25 +122,25 @@
 		{"", groupSettings, "read and change the settings tree", &struct{}{}},
 		{groupSettings, "get", "print the tree, or one object of it", &settingsGet{app: a}},
 		{groupSettings, "set", "set or remove one object", &settingsSet{app: a}},
-		{groupSettings, "apply", "make the tree like a file", &settingsApply{app: a}},
-		{groupSettings, "history", "list the changes", &settingsHistory{app: a}},
-		{groupSettings, "reference", "print the page of all settings", &settingsReference{app: a}},
-		{groupSettings, "check", "check a tree's file", &settingsCheck{app: a}},
+		{groupSettings, "apply", "change the tree to match a file", &settingsApply{app: a}},
+		{groupSettings, "history", "list changes", &settingsHistory{app: a}},
+		{groupSettings, "reference", "print the reference page of all settings", &settingsReference{app: a}},
+		{groupSettings, "check", "validate a file with a settings tree", &settingsCheck{app: a}},
 		{"", groupBudget, "show and top up budgets", &struct{}{}},
 		{groupBudget, "show", "print budgets", &budgetShow{app: a}},
 		{groupBudget, "topup", "add tokens to a budget", &budgetTopup{app: a}},
-		{groupBudget, "write-off", "count what a lost journal held as spent", &budgetWriteOff{app: a}},
-		{"", "status", "print keepers, leaders and nodes", &status{app: a}},
-		{"", "entries", "look up ledger entries", &entries{app: a}},
+		{groupBudget, "write-off", "count the tokens held by a lost journal as spent", &budgetWriteOff{app: a}},
+		{"", "status", "print the status of keepers, leaders and nodes", &status{app: a}},
+		{"", "entries", "look up ledger entries", &entriesCommand{app: a}},
 		{"", "keeper", "manage keepers", &struct{}{}},
-		{"keeper", "remove", "take a keeper out for good", &keeperRemove{app: a}},
+		{"keeper", "remove", "remove a keeper permanently", &keeperRemove{app: a}},
 		{"", "halls", "print which data halls of a declared fleet are vacated", &hallsShow{app: a}},
-		{"", "rollouts", "print the newest roll-out of each service of a declared fleet", &rolloutsShow{app: a}},
-		{"", "suspects", "print the requests of a declared fleet that end servers, or clear one", &suspectsShow{app: a}},
-		{"", "tls", "make certificates", &struct{}{}},
-		{"tls", "init", "make an authority, and certificates for processes", &tlsInit{app: a}},
-		{"", "explain", "tell a request's story from log files", &explainCommand{app: a}},
-		{"", "load", "run a load against a router", &loadCommand{app: a}},
+		{"", "rollouts", "print the newest rollout of each service of a declared fleet", &rolloutsShow{app: a}},
+		{"", "suspects", "print the requests of a declared fleet that crash servers, or clear one", &suspectsShow{app: a}},
+		{"", "tls", "create certificates", &struct{}{}},
+		{"tls", "init", "create a certificate authority and certificates for processes", &tlsInit{app: a}},
+		{"", "explain", "print the timeline of a request from log files", &explainCommand{app: a}},
+		{"", "load", "generate load against routers", &loadCommand{app: a}},
 	}
 	for _, c := range commands {
 		parent := p.Command
@@ -152,10 +154,11 @@
 	return nil
 }
 
-// with calls f with a client of the keepers, within the time limit.
-func (a *app) with(f func(context.Context, *keeperclient.Client) error) error {
+// withClient calls f with a client of the keepers and a context that ends at
+// the timeout.
+func (a *app) withClient(f func(context.Context, *keeperclient.Client) error) error {
 	if a.Config == "" {
-		return exit(ExitUsage, "no settings file: give --config or set SUMACHEAD_CONFIG")
+		return exitErrorf(ExitUsage, "no settings file: use --config or set SUMACHEAD_CONFIG")
 	}
 	c, err := config.ReadClientFile(a.Config)
 	if err != nil {
