--- a/internal/tlsfiles/authority.go
+++ b/internal/tlsfiles/authority.go
@@ -21,19 +21,19 @@
 	authorityKeyFile = "ca-key.pem"
 	authorityYears   = 10
 	nodeYears        = 1
-	folderMode       = 0o700
-	secretMode       = 0o600
-	publicMode       = 0o644
+	directoryMode    = 0o700
+	privateKeyMode   = 0o600
+	certificateMode  = 0o644
 )
 
-// Authority signs the certificates of a system's processes.
+// Authority is the certificate authority of a system's processes.
 type Authority struct {
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// OpenAuthority reads the authority in a folder, or makes one.
+// OpenAuthority loads the authority in a directory, or creates one.
 func OpenAuthority(dir string) (*Authority, error) {
 	a := &Authority{dir: dir}
 	certPEM, err := os.ReadFile(filepath.Join(dir, authorityFile))
@@ -50,7 +50,7 @@
 	certBlock, _ := pem.Decode(certPEM)
 	keyBlock, _ := pem.Decode(keyPEM)
 	if certBlock == nil || keyBlock == nil {
-		return nil, trace.BadParameter("%s holds no certificate or no key", dir)
+		return nil, trace.BadParameter("%s: the certificate or key of the authority is not valid PEM", dir)
 	}
 	if a.cert, err = x509.ParseCertificate(certBlock.Bytes); err != nil {
 		return nil, trace.Wrap(err)
@@ -73,7 +73,7 @@
 }
 
 func (a *Authority) create() error {
-	if err := os.MkdirAll(a.dir, folderMode); err != nil {
+	if err := os.MkdirAll(a.dir, directoryMode); err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	t, err := template("sumachead", authorityYears)
@@ -95,8 +95,8 @@
 	return a.write(authorityFile, authorityKeyFile, der, a.key)
 }
 
-// Issue writes NAME.pem and NAME-key.pem for one process, good for the
-// addresses: IP numbers or host names.
+// Issue writes NAME.pem and NAME-key.pem for a process. The certificate is
+// valid for the given IP addresses and DNS names.
 func (a *Authority) Issue(name string, addresses []string) error {
 	t, err := template(name, nodeYears)
 	if err != nil {
@@ -128,9 +128,9 @@
 		return trace.Wrap(err)
 	}
 	keyPEM := pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER})
-	if err := os.WriteFile(filepath.Join(a.dir, keyName), keyPEM, secretMode); err != nil {
+	if err := os.WriteFile(filepath.Join(a.dir, keyName), keyPEM, privateKeyMode); err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	certPEM := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
-	return trace.ConvertSystemError(os.WriteFile(filepath.Join(a.dir, certName), certPEM, publicMode))
+	return trace.ConvertSystemError(os.WriteFile(filepath.Join(a.dir, certName), certPEM, certificateMode))
 }
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,6 +1,6 @@
-// Package tlsfiles makes TLS settings from the files that a settings file
-// names. The files are read again when they change, so that a certificate is
-// replaced without a restart.
+// Package tlsfiles builds TLS configurations from the certificate files named
+// in a settings file. Files are reloaded when they change, so that certificates
+// can be rotated without a restart.
 package tlsfiles
 
 import (
@@ -15,17 +15,18 @@
 	"sumachead/internal/config"
 )
 
-// checkEvery is how often a file's time is looked at.
-const checkEvery = time.Second
+// checkInterval is how often the modification time of a certificate file is
+// checked.
+const checkInterval = time.Second
 
-// Files are the TLS settings of one process; nil when TLS is off.
+// Files holds the certificates of one process; it is nil if TLS is off.
 type Files struct {
-	roots  *x509.CertPool
-	own    *pair
-	caller *pair
+	roots   *x509.CertPool
+	process *pair
+	caller  *pair
 }
 
-// pair is a certificate that follows its files.
+// pair is a certificate and key that are reloaded when their files change.
 type pair struct {
 	cert, key string
 
@@ -35,7 +36,7 @@
 	checked  time.Time
 }
 
-// Load reads the files; it returns nil when TLS is off.
+// Load reads the certificate files; it returns nil if TLS is off.
 func Load(c config.TLS) (*Files, error) {
 	if c.Off {
 		return nil, nil
@@ -44,15 +45,15 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	f := &Files{roots: x509.NewCertPool(), own: &pair{cert: c.Cert, key: c.Key}}
+	f := &Files{roots: x509.NewCertPool(), process: &pair{cert: c.Cert, key: c.Key}}
 	if !f.roots.AppendCertsFromPEM(pem) {
-		return nil, trace.BadParameter("tls.ca: %s holds no certificate", c.CA)
+		return nil, trace.BadParameter("tls.ca: no certificate found in %s", c.CA)
 	}
-	f.caller = f.own
+	f.caller = f.process
 	if c.CallerCert != "" {
 		f.caller = &pair{cert: c.CallerCert, key: c.CallerKey}
 	}
-	for _, p := range []*pair{f.own, f.caller} {
+	for _, p := range []*pair{f.process, f.caller} {
 		if _, err := p.get(); err != nil {
 			return nil, err
 		}
@@ -60,13 +61,13 @@
 	return f, nil
 }
 
-// get returns the certificate, reading it again after a change. A change that
-// can't be read leaves the old one in use.
+// get returns the certificate, and reloads it if its file has changed. If the
+// reload fails, the old certificate stays in use.
 func (p *pair) get() (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if p.loaded != nil && now.Sub(p.checked) < checkEvery {
+	if p.loaded != nil && now.Sub(p.checked) < checkInterval {
 		return p.loaded, nil
 	}
 	p.checked = now
@@ -79,7 +80,7 @@
 		if p.loaded != nil {
 			return p.loaded, nil
 		}
-		return nil, trace.Wrap(err, "reading %s and %s", p.cert, p.key)
+		return nil, trace.Wrap(err, "loading certificate %s and key %s", p.cert, p.key)
 	}
 	p.loaded = &c
 	if info != nil {
@@ -88,30 +89,30 @@
 	return p.loaded, nil
 }
 
-// Server returns the settings for calls from other processes, which must show
-// a certificate of the authority.
+// Server returns the configuration for calls from other processes, which must
+// present a certificate signed by the authority.
 func (f *Files) Server() *tls.Config {
 	if f == nil {
 		return nil
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: f.roots,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return f.own.get() },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return f.process.get() },
 	}
 }
 
-// Client returns the settings for calls to other processes.
+// Client returns the configuration for calls to other processes.
 func (f *Files) Client() *tls.Config {
 	if f == nil {
 		return nil
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, RootCAs: f.roots,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return f.own.get() },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return f.process.get() },
 	}
 }
 
-// Caller returns the settings towards callers.
+// Caller returns the configuration for connections from callers.
 func (f *Files) Caller() *tls.Config {
 	if f == nil {
 		return nil
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -28,7 +28,8 @@
 	return f
 }
 
-// handshake returns the certificate's serial that a client sees, or an error.
+// handshake returns the serial number of the server certificate that a client
+// receives.
 func handshake(server, client *tls.Config) (string, error) {
 	lis, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	if err != nil {
@@ -40,7 +41,7 @@
 		if err != nil {
 			return
 		}
-		_, _ = c.Write([]byte("x")) // shakes hands
+		_, _ = c.Write([]byte("x")) // completes the handshake
 		_ = c.Close()
 	}()
 	c, err := tls.DialWithDialer(&net.Dialer{Timeout: time.Second}, "tcp", lis.Addr().String(), client)
@@ -54,7 +55,7 @@
 	return c.ConnectionState().PeerCertificates[0].SerialNumber.String(), nil
 }
 
-func TestOnlyProcessesOfTheAuthorityTalk(t *testing.T) {
+func TestPeerMustBeSignedByAuthority(t *testing.T) {
 	dir, other := t.TempDir(), t.TempDir()
 	server, client, stranger := issue(t, dir, "server"), issue(t, dir, "client"), issue(t, other, "stranger")
 	tests := []struct {
@@ -75,17 +76,17 @@
 	}
 }
 
-func TestCertificateIsReadAgain(t *testing.T) {
+func TestCertificateIsReloaded(t *testing.T) {
 	dir := t.TempDir()
 	server, client := issue(t, dir, "server"), issue(t, dir, "client")
 	before, err := handshake(server.Server(), client.Client())
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(checkEvery + 100*time.Millisecond)
+	time.Sleep(checkInterval + 100*time.Millisecond)
 	issue(t, dir, "server")
 	after, err := handshake(server.Server(), client.Client())
 	if err != nil || after == before {
-		t.Errorf("the old certificate is shown still: %v", err)
+		t.Errorf("the old certificate is still presented: %v", err)
 	}
 }
