--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -1,5 +1,5 @@
-// Package reference writes the page of all settings from the structs that hold
-// them, so that the page can't differ from the code.
+// Package reference generates the reference page of all settings from the
+// structs that hold them, so that the page can't differ from the code.
 package reference
 
 import (
@@ -11,7 +11,7 @@
 	"sumachead/internal/settings"
 )
 
-// section is one table of the page.
+// section describes one table of the page.
 type section struct {
 	title string
 	about string
@@ -20,12 +20,12 @@
 
 func sections() []section {
 	return []section{
-		{"Settings file of a process", "Given to `sumacheadd --config`. Read once, at the start.", config.Config{}},
+		{"Settings file of a process", "Passed to `sumacheadd --config`. Read once at startup.", config.Config{}},
 		{"keepers[]", "", config.Keeper{}},
 		{"agent", "", config.Agent{}},
 		{"tls", "", config.TLS{}},
-		{"Settings file of the tool", "Given to `sumachead --config`.", config.Client{}},
-		{"Settings tree", "What operators change while the system runs: `sumachead settings apply FILE`. An object's path is KIND/ID, a top-up's topups/BUDGET/ID.", settings.Objects{}},
+		{"Settings file of the tool", "Passed to `sumachead --config`.", config.Client{}},
+		{"Settings tree", "What operators change while the system runs: `sumachead settings apply FILE`. The path of an object is KIND/ID, that of a top-up topups/BUDGET/ID.", settings.Objects{}},
 		{"branches.ID", "", settings.Branch{}},
 		{"workspaces.ID", "", settings.Workspace{}},
 		{"limits", "Of a branch or a workspace.", settings.Limits{}},
@@ -39,8 +39,8 @@
 // Page returns the page in Markdown.
 func Page() string {
 	var b strings.Builder
-	b.WriteString("# Settings\n\nThis page is made from the code by `sumachead settings reference`; CI checks that it is current.\n" +
-		"All files are strict JSON: an unknown field, a repeated name or a wrong type is an error that names the field.\n")
+	b.WriteString("# Settings\n\nThis page is generated from the code by `sumachead settings reference`; CI checks that it is current.\n" +
+		"All files are strict JSON: an unknown field, a duplicate name or a wrong type is an error that names the field.\n")
 	for _, s := range sections() {
 		fmt.Fprintf(&b, "\n## %s\n\n", s.title)
 		if s.about != "" {
@@ -57,10 +57,10 @@
 	return b.String()
 }
 
-// typeName returns what a reader of JSON would call the type.
+// typeName returns the name of a type for readers of JSON.
 func typeName(t reflect.Type) string {
 	if t == reflect.TypeFor[settings.Duration]() {
-		return "time, as in \"1.5s\""
+		return "duration, as in \"1.5s\""
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
@@ -79,8 +79,8 @@
 	return "object"
 }
 
-// emptyFields lists the fields without a text.
-func emptyFields(s section) []string {
+// undocumentedFields lists the fields of a section without a doc tag.
+func undocumentedFields(s section) []string {
 	var names []string
 	t := reflect.TypeOf(s.value)
 	for i := range t.NumField() {
--- a/internal/reference/reference_test.go
+++ b/internal/reference/reference_test.go
@@ -22,7 +22,7 @@
 
 func TestEveryFieldHasText(t *testing.T) {
 	for _, s := range sections() {
-		for _, line := range emptyFields(s) {
+		for _, line := range undocumentedFields(s) {
 			t.Errorf("%s: field %s has no doc tag", s.title, line)
 		}
 	}
