--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon runs the role that a settings file names.
+// Package daemon runs a process in the role that its settings file names.
 package daemon
 
 import (
@@ -18,7 +18,7 @@
 	"sumachead/internal/tlsfiles"
 )
 
-// Run runs a process until ctx ends. Logs go to w.
+// Run runs the process until ctx is done. It writes logs to w.
 func Run(ctx context.Context, c *config.Config, w io.Writer) error {
 	log := telemetry.NewLogger(w, c.LogLevel, string(c.Node))
 	files, err := tlsfiles.Load(c.TLS)
@@ -39,5 +39,5 @@
 	case config.RoleKeeper:
 		return (&keeper.Keeper{Config: c, Log: log.Named("keeper"), RPC: server, Pool: pool}).Run(ctx)
 	}
-	return trace.BadParameter("role: %q", c.Role)
+	return trace.BadParameter("role: unknown role %q", c.Role)
 }
--- a/internal/daemon/daemoncmd/main.go
+++ b/internal/daemon/daemoncmd/main.go
@@ -1,4 +1,4 @@
-// Package daemoncmd is the command line of the daemon.
+// Package daemoncmd implements the command line of the daemon.
 package daemoncmd
 
 import (
@@ -15,30 +15,31 @@
 	"sumachead/internal/daemon"
 )
 
-// Exit codes.
+// Exit codes of the daemon.
 const (
-	exitFailed   = 1
-	exitSettings = 2
+	exitFailed = 1
+	exitUsage  = 2
 )
 
 type options struct {
-	Config string `long:"config" required:"true" description:"settings file of this process (JSON)"`
-	Check  bool   `long:"check" description:"check the settings file and exit"`
+	Config string `long:"config" required:"true" description:"settings file of the process (JSON)"`
+	Check  bool   `long:"check" description:"validate the settings file and exit"`
 }
 
-// Main runs the daemon and exits.
+// Main runs the daemon until it is interrupted or terminated. On failure it
+// exits the process with one of the exit codes.
 func Main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
 		if flags.WroteHelp(err) {
 			return
 		}
-		os.Exit(exitSettings)
+		os.Exit(exitUsage)
 	}
 	c, err := config.ReadFile(o.Config)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sumacheadd:", trace.UserMessage(err))
-		os.Exit(exitSettings)
+		os.Exit(exitUsage)
 	}
 	if o.Check {
 		return
