--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -16,7 +16,7 @@
 	"sumachead/internal/strictjson"
 )
 
-// The size to design for.
+// The number of objects that the system is designed for.
 const (
 	budgets    = 20000
 	workspaces = 1600
@@ -26,16 +26,16 @@
 	entries    = 200000
 )
 
-// heap returns the bytes in use.
-func heap() int64 {
+// heapBytes returns the bytes of allocated heap objects after a collection.
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// tree returns a tree of the size to design for.
-func tree() settings.Objects {
+// designTree returns a settings tree of the size that the system is designed for.
+func designTree() settings.Objects {
 	o := settings.Objects{
 		Branches:   map[string]settings.Branch{"root": {}},
 		Workspaces: make(map[string]settings.Workspace), Budgets: make(map[string]settings.Budget),
@@ -65,18 +65,18 @@
 	return o
 }
 
-func machine(b *testing.B) *settings.Machine {
-	o := tree()
+func newSettingsMachine(b *testing.B) *settings.Machine {
+	o := designTree()
 	objects, err := o.ToWire()
 	if err != nil {
 		b.Fatal(err)
 	}
 	m := settings.NewMachine("s")
-	change(b, m, "first", 0, objects)
+	applyChange(b, m, "first", 0, objects)
 	return m
 }
 
-func change(b *testing.B, m *settings.Machine, id string, base uint64, objects []*wire.SettingsObject) {
+func applyChange(b *testing.B, m *settings.Machine, id string, base uint64, objects []*wire.SettingsObject) {
 	data, err := proto.Marshal(&wire.ChangeRequest{ChangeId: id, BaseRevision: base, Objects: objects})
 	if err != nil {
 		b.Fatal(err)
@@ -86,11 +86,11 @@
 	}
 }
 
-// BenchmarkSettings measures one change of one server at full size: applying it
-// at a keeper, its delta and a full snapshot in bytes, and putting it in force
-// at a router.
+// BenchmarkSettings measures a change of one backend server in a tree of the
+// design size: applying it at a keeper, the bytes of its delta and of a full
+// snapshot, and applying the delta at a router.
 func BenchmarkSettings(b *testing.B) {
-	m := machine(b)
+	m := newSettingsMachine(b)
 	without := []string{settings.KindBudgets, settings.KindTopups}
 	sync := func(session string, revision uint64, without []string) *wire.SyncReply {
 		r, err := m.Sync(&wire.SyncRequest{Session: session, Revision: revision, Without: without})
@@ -102,35 +102,35 @@
 	full := sync("", 0, without)
 	b.ReportMetric(float64(proto.Size(sync("", 0, nil))), "B/snapshot-all")
 	b.ReportMetric(float64(proto.Size(full)), "B/snapshot-router")
-	before := heap()
+	before := heapBytes()
 	f := &settings.Follower{}
 	view, err := f.Take(full)
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.ReportMetric(float64(heap()-before)/(1<<20), "MB/router-view")
+	b.ReportMetric(float64(heapBytes()-before)/(1<<20), "MB/router-view")
 	server, err := strictjson.Encode(settings.Server{Pool: "pool-01", Hall: "hall-1", Agent: "10.9.9.9:7000", Slots: 16, Epoch: 2})
 	if err != nil {
 		b.Fatal(err)
 	}
 	objects := []*wire.SettingsObject{{Path: "servers/server-0001", Json: server}}
-	began := time.Now()
-	change(b, m, "second", 1, objects)
-	b.ReportMetric(time.Since(began).Seconds()*1000, "ms/apply-change")
+	start := time.Now()
+	applyChange(b, m, "second", 1, objects)
+	b.ReportMetric(time.Since(start).Seconds()*1000, "ms/apply-change")
 	delta := sync("s", 1, without)
 	b.ReportMetric(float64(proto.Size(delta)), "B/delta")
-	began = time.Now()
+	start = time.Now()
 	next, err := f.Take(delta)
 	if err != nil || next.Revision <= view.Revision {
 		b.Fatal(err)
 	}
-	b.ReportMetric(time.Since(began).Seconds()*1000, "ms/router-in-force")
+	b.ReportMetric(time.Since(start).Seconds()*1000, "ms/router-in-force")
 	for range b.N {
 	}
 	runtime.KeepAlive(view)
 }
 
-func apply(b *testing.B, m *ledger.Machine, c *wire.LedgerCommand) {
+func applyCommand(b *testing.B, m *ledger.Machine, c *wire.LedgerCommand) {
 	data, err := proto.Marshal(c)
 	if err != nil {
 		b.Fatal(err)
@@ -138,47 +138,47 @@
 	m.Apply(0, data)
 }
 
-// BenchmarkLedger measures memory for each budget and entry, processor time for
-// each request's two commands, and a snapshot.
+// BenchmarkLedger measures the memory per budget and per entry, the processor
+// time of a request's two commands, and the time and size of a snapshot.
 func BenchmarkLedger(b *testing.B) {
 	m := ledger.NewMachine()
-	before := heap()
+	before := heapBytes()
 	totals := &wire.SetTotals{Revision: 1}
 	for i := range budgets {
 		totals.Totals = append(totals.Totals, &wire.BudgetTotal{Budget: fmt.Sprintf("budget-%05d", i), Total: 1 << 40})
 	}
-	apply(b, m, &wire.LedgerCommand{Command: &wire.LedgerCommand_Totals{Totals: totals}})
+	applyCommand(b, m, &wire.LedgerCommand{Command: &wire.LedgerCommand_Totals{Totals: totals}})
 	grants := &wire.GrantBatch{}
 	for i := range budgets {
 		for h := range halls {
 			grants.Grants = append(grants.Grants, &wire.Grant{Budget: fmt.Sprintf("budget-%05d", i), Hall: fmt.Sprintf("hall-%d", h), KeeperIncarnation: "1b4e28ba-2fa1-11d2-883f-0016d3cca427", Amount: 1000})
 		}
 	}
-	apply(b, m, &wire.LedgerCommand{Command: &wire.LedgerCommand_Grants{Grants: grants}})
+	applyCommand(b, m, &wire.LedgerCommand{Command: &wire.LedgerCommand_Grants{Grants: grants}})
 	totals, grants = nil, nil
-	b.ReportMetric(float64(heap()-before)/budgets, "B/budget")
-	before = heap()
-	began := time.Now()
+	b.ReportMetric(float64(heapBytes()-before)/budgets, "B/budget")
+	before = heapBytes()
+	start := time.Now()
 	for i := range entries {
 		key := fmt.Sprintf("7d444840-9dc0-11d1-b245-%012d", i)
-		apply(b, m, &wire.LedgerCommand{Command: &wire.LedgerCommand_Reserve{Reserve: &wire.ReserveRequest{
+		applyCommand(b, m, &wire.LedgerCommand{Command: &wire.LedgerCommand_Reserve{Reserve: &wire.ReserveRequest{
 			Workspace: "workspace-0001", Key: key, Budget: "budget-00001", Amount: 700, BodyHash: []byte("12345678"), Hall: "hall-1",
 			Attempt: &wire.Attempt{Owner: "router-01/7d444840-9dc0-11d1-b245-5ffdce74fad2/zz", Server: "server-0001", Boot: "7d444840-9dc0-11d1-b245-5ffdce74fad2"},
 		}}})
-		apply(b, m, &wire.LedgerCommand{Command: &wire.LedgerCommand_Settle{Settle: &wire.SettleBatch{Settles: []*wire.SettleRequest{
+		applyCommand(b, m, &wire.LedgerCommand{Command: &wire.LedgerCommand_Settle{Settle: &wire.SettleBatch{Settles: []*wire.SettleRequest{
 			{Workspace: "workspace-0001", Key: key, Attempt: 1, Tokens: 300},
 		}}}})
 	}
-	b.ReportMetric(time.Since(began).Seconds()*1e6/entries, "µs/request")
-	b.ReportMetric(float64(heap()-before)/entries, "B/entry")
-	began = time.Now()
+	b.ReportMetric(time.Since(start).Seconds()*1e6/entries, "µs/request")
+	b.ReportMetric(float64(heapBytes()-before)/entries, "B/entry")
+	start = time.Now()
 	encode := m.Snapshot()
-	b.ReportMetric(time.Since(began).Seconds()*1000, "ms/snapshot-capture")
+	b.ReportMetric(time.Since(start).Seconds()*1000, "ms/snapshot-capture")
 	data, err := encode()
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.ReportMetric(time.Since(began).Seconds()*1000, "ms/snapshot")
+	b.ReportMetric(time.Since(start).Seconds()*1000, "ms/snapshot")
 	b.ReportMetric(float64(len(data))/(1<<20), "MB/snapshot")
 	for range b.N {
 	}
@@ -186,7 +186,7 @@
 	runtime.KeepAlive(grants)
 }
 
-// BenchmarkAllotments measures one pass of the sizing over all budgets.
+// BenchmarkAllotments measures planning the allotments of all budgets once.
 func BenchmarkAllotments(b *testing.B) {
 	in := allot.Input{Available: 100_000}
 	for h := range halls {
@@ -199,8 +199,8 @@
 	}
 }
 
-// BenchmarkIdleSync measures the bytes of a node's question and its answer when
-// nothing is new: about one of each a second.
+// BenchmarkIdleSync measures the bytes of a node's sync request and its reply
+// when nothing has changed. A node sends about one request per second.
 func BenchmarkIdleSync(b *testing.B) {
 	q := &wire.SyncRequest{
 		Node: "router-001", Role: "router", Hall: "hall-1", Session: "0011223344556677", Revision: 12345, WaitMillis: 1000,
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,3 +1,4 @@
-// Package capacity measures the slopes that docs/CAPACITY.md is worked out
-// from: go test -bench . -benchtime 1x ./internal/capacity
+// Package capacity contains benchmarks of the costs per object from which
+// docs/CAPACITY.md is computed:
+// go test -bench . -benchtime 1x ./internal/capacity
 package capacity
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -15,18 +15,18 @@
 	"sumachead/internal/registry"
 )
 
-// The size to design for, for a fleet declared as one document.
+// The number of objects that a fleet declared as one document is designed for.
 const (
 	designRouters    = 410
 	designWorkspaces = 1600
 	designReplicas   = 1900
-	// workspacesEach is how many workspaces one router serves at a time.
-	workspacesEach = 64
+	// workspacesPerRouter is how many workspaces a router serves at a time.
+	workspacesPerRouter = 64
 )
 
 func escrowReport(node int) *wire.EscrowReport {
 	r := &wire.EscrowReport{Node: fmt.Sprint("router-", node), Boot: "b"}
-	for i := range workspacesEach {
+	for i := range workspacesPerRouter {
 		r.Positions = append(r.Positions, &wire.EscrowPosition{
 			Workspace: fmt.Sprint("workspace-", (node*7+i*25)%designWorkspaces), Spent: 1000, Rate: 500, Reserved: 100,
 		})
@@ -34,38 +34,39 @@
 	return r
 }
 
-// BenchmarkEscrowReport sizes and applies the reports of all routers.
+// BenchmarkEscrowReport allocates escrow for the reports of all routers and
+// applies the grants.
 func BenchmarkEscrowReport(b *testing.B) {
-	book, sizer := escrow.NewLedger(), &escrow.Allocator{}
+	state, allocator := escrow.NewLedger(), &escrow.Allocator{}
 	totals := make(map[sumachead.WorkspaceID]sumachead.Tokens)
 	for i := range designWorkspaces {
 		totals[sumachead.WorkspaceID(fmt.Sprint("workspace-", i))] = 1 << 40
 	}
-	book.SetTotals(totals)
+	state.SetTotals(totals)
 	now := time.Now()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	one := func(i int) {
+	report := func(i int) {
 		r := escrowReport(i % designRouters)
-		sizer.RecordReport(r, now)
-		grants, _ := sizer.Allocate(book, r, now)
-		book.Apply(&wire.EscrowGrant{Report: r, Grants: grants})
+		allocator.RecordReport(r, now)
+		grants, _ := allocator.Allocate(state, r, now)
+		state.Apply(&wire.EscrowGrant{Report: r, Grants: grants})
 	}
 	for i := range designRouters {
-		one(i)
+		report(i)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	i := 0
 	for b.Loop() {
-		one(i)
+		report(i)
 		i++
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MB_held")
 	b.ReportMetric(float64(proto.Size(escrowReport(1))), "bytes/report")
 }
 
-// BenchmarkRegistry takes in the heartbeats of all backend servers.
+// BenchmarkRegistry applies the heartbeats of all backend servers.
 func BenchmarkRegistry(b *testing.B) {
 	t := &registry.Table{Heartbeat: time.Second}
 	record := func(i, sequence int) *wire.ServerRecord {
@@ -80,7 +81,7 @@
 			b.Fatal(err)
 		}
 	}
-	whole, _ := t.Since("", 0)
+	snapshot, _ := t.Since("", 0)
 	i := 0
 	for b.Loop() {
 		if _, err := t.Beat(record(i%designReplicas, 2+i/designReplicas), time.Now()); err != nil {
@@ -88,11 +89,12 @@
 		}
 		i++
 	}
-	b.ReportMetric(float64(proto.Size(whole)), "bytes/whole")
+	b.ReportMetric(float64(proto.Size(snapshot)), "bytes/whole")
 	b.ReportMetric(float64(proto.Size(record(1, 2))), "bytes/record")
 }
 
-// BenchmarkDeclaration packs and prepares a document of many routes.
+// BenchmarkDeclaration packs and unpacks a declaration with many routes and
+// workspaces, and builds a view of it.
 func BenchmarkDeclaration(b *testing.B) {
 	c := &wire.Catalog{Services: []*wire.Service{{Name: "pool"}}}
 	for i := range 500 {
