--- a/internal/metricspage/page_test.go
+++ b/internal/metricspage/page_test.go
@@ -1,4 +1,5 @@
-// Package metricspage keeps docs/METRICS.md true. It holds tests only.
+// Package metricspage checks that docs/METRICS.md lists the metrics that the
+// code exports. It contains tests only.
 package metricspage
 
 import (
@@ -25,18 +26,18 @@
 
 var update = flag.Bool("update", false, "write docs/METRICS.md")
 
-const page = "../../docs/METRICS.md"
+const pagePath = "../../docs/METRICS.md"
 
-const head = `# Figures that processes tell
+const pageHeader = `# Metrics
 
-Made from the code by ` + "`go test ./internal/metricspage -update`" + ` and checked by the
+Generated from the code by ` + "`go test ./internal/metricspage -update`" + ` and checked by the
 tests. Names follow the conventions of Prometheus; all times are in seconds.
-Refusals and retries have a counter for each reason ([OPERATIONS.md](OPERATIONS.md)
-says what to do about them), also before the first of its kind.
+Refusals and retries have a counter for each reason, which is exported from the start
+([OPERATIONS.md](OPERATIONS.md) says how to respond to them).
 
 `
 
-// rows lists the metrics of a registry, each once.
+// rows returns a table row for each metric of a registry.
 func rows(t *testing.T, r *prometheus.Registry) []string {
 	t.Helper()
 	families, err := r.Gather()
@@ -57,11 +58,11 @@
 }
 
 func section(title string, rows []string) string {
-	return "## " + title + "\n\n| name | kind | labels | what it tells |\n| --- | --- | --- | --- |\n" + strings.Join(rows, "\n") + "\n"
+	return "## " + title + "\n\n| name | kind | labels | meaning |\n| --- | --- | --- | --- |\n" + strings.Join(rows, "\n") + "\n"
 }
 
-// callNobody sends one call, so that the counters by method have a row.
-func callNobody(ctx context.Context, t *testing.T) {
+// sendUnansweredCall sends one RPC, so that the counters by method have a row.
+func sendUnansweredCall(ctx context.Context, t *testing.T) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,10 +71,10 @@
 	defer func() { _ = lis.Close() }()
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	_, _ = rpc.Call[wire.Empty](ctx, &rpc.Client{Address: lis.Addr().String()}, "Nobody.Answers", &wire.Empty{}) // it is sent
+	_, _ = rpc.Call[wire.Empty](ctx, &rpc.Client{Address: lis.Addr().String()}, "Nobody.Answers", &wire.Empty{}) // counted when sent
 }
 
-func TestPageIsTrue(t *testing.T) {
+func TestPageMatchesMetrics(t *testing.T) {
 	out := telemetry.NewQueuedWriter(os.Stderr)
 	g := &gateway.Gateway{Log: hclog.NewNullLogger(), Seeds: func() []string { return nil }}
 	g.Prepare()
@@ -87,18 +88,18 @@
 	if err := k.Prepare(ctx); err != nil {
 		t.Fatal(err)
 	}
-	callNobody(ctx, t)
-	want := head + section("Routers", rows(t, g.Metrics().Registry)) + "\n" + section("Keepers", rows(t, k.Metrics()))
+	sendUnansweredCall(ctx, t)
+	want := pageHeader + section("Routers", rows(t, g.Metrics().Registry)) + "\n" + section("Keepers", rows(t, k.Metrics()))
 	if *update {
-		if err := os.WriteFile(page, []byte(want), 0o600); err != nil {
+		if err := os.WriteFile(pagePath, []byte(want), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(want, string(got)); d != "" {
-		t.Fatalf("docs/METRICS.md is not what the code tells; run with -update (-want +got):\n%s", d)
+		t.Fatalf("docs/METRICS.md differs from the exported metrics; run with -update (-want +got):\n%s", d)
 	}
 }
