--- a/cmd/sumachead-node/main.go
+++ b/cmd/sumachead-node/main.go
@@ -1,4 +1,4 @@
-// Command sumachead-node runs one process of sumachead on the users' platform.
+// Command sumachead-node runs a process of sumachead on the users' platform.
 package main
 
 import "sumachead/platform"
--- a/cmd/sumachead-standin/main.go
+++ b/cmd/sumachead-standin/main.go
@@ -1,4 +1,4 @@
-// Command sumachead-standin plays a backend server for the demo and the tests.
+// Command sumachead-standin simulates a backend server for the demo and tests.
 package main
 
 import "sumachead/internal/standin/standincmd"
--- a/cmd/sumachead/main.go
+++ b/cmd/sumachead/main.go
@@ -1,4 +1,4 @@
-// Command sumachead is the operators' tool.
+// Command sumachead is the operators' command-line tool.
 package main
 
 import (
--- a/cmd/sumacheadd/main.go
+++ b/cmd/sumacheadd/main.go
@@ -1,5 +1,5 @@
-// Command sumacheadd is the daemon: a router, an agent or a keeper, as its
-// settings file says.
+// Command sumacheadd is the daemon. It runs as a router, an agent or a keeper,
+// depending on its settings file.
 package main
 
 import "sumachead/internal/daemon/daemoncmd"
