--- a/scripts/account/account_test.go
+++ b/scripts/account/account_test.go
@@ -12,7 +12,7 @@
 	"sumachead/internal/explain"
 )
 
-// Worked by hand: 0.75 * 0.1 + 0.25 * 0.2 + 0.05 + 0.02 = 0.195.
+// The losses in testdata/entry.json sum to 0.75 * 0.1 + 0.25 * 0.2 + 0.05 + 0.02 = 0.195.
 func TestLossesAddUp(t *testing.T) {
 	days, err := readEntry("testdata/entry.json")
 	if err != nil {
@@ -31,9 +31,9 @@
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(loss{}), cmpopts.EquateApprox(0, 1e-9)); diff != "" {
 		t.Errorf("losses (-want +got):\n%s", diff)
 	}
-	days[0].Worth = 0.9
+	days[0].Goodput = 0.9
 	if _, err := days[0].losses(); err == nil {
-		t.Error("losses that do not add up are no error")
+		t.Error("no error for losses that do not add up")
 	}
 }
 
@@ -62,7 +62,7 @@
 by time
      0 s            2  in_time 1 (50.0%)  late_first 1 (50.0%)
      5 s            2  failed: server_failed 1 (50.0%)  refused: ledger_unreached 1 (50.0%)
-refused for money, by workspace
+refused at budget admission, by workspace
                     1  nurses ledger_unreached 1 (100.0%)
 `
 	if diff := cmp.Diff(want, b.String()); diff != "" {
--- a/scripts/account/lines.go
+++ b/scripts/account/lines.go
@@ -12,27 +12,28 @@
 	"sumachead/internal/explain"
 )
 
-// The messages that end a request, and the one that begins a process.
+// The log messages at the end of a request and at the start of a process.
 const (
 	messageServed   = "A request is served."
 	messageRefused  = "A request has no whole answer."
 	messageStarting = "Starting."
 )
 
-// counts is how many requests had each cause.
+// counts is the number of requests by outcome.
 type counts map[string]int
 
-// account counts what became of requests.
+// account counts the outcomes of requests, in total and by several keys.
 type account struct {
 	all     counts
 	byRoute map[string]counts
 	byHall  map[string]counts
 	byTime  map[string]counts
-	// workspaces are of those that were refused for money.
+	// workspaces counts the requests refused at budget admission, by workspace and reason.
 	workspaces counts
 }
 
-// newAccount counts the lines' requests; times are rounded down to steps since the first.
+// newAccount counts the requests in log lines. Times are relative to the first request and
+// rounded down to a multiple of step.
 func newAccount(lines []explain.Line, step time.Duration) *account {
 	a := &account{
 		all: make(counts), byRoute: make(map[string]counts), byHall: make(map[string]counts),
@@ -44,58 +45,58 @@
 		process, _, _ := strings.Cut(l.Module, ".")
 		switch l.Message {
 		case messageStarting:
-			halls[process] = text(l, "hall")
+			halls[process] = stringField(l, "hall")
 		case messageServed, messageRefused:
-			if text(l, "route") == "" {
-				continue // nobody's request: no route is there for it
+			if stringField(l, "route") == "" {
+				continue // the request matched no route
 			}
 			if first.IsZero() {
 				first = l.At
 			}
-			a.note(l, halls[process], l.At.Sub(first).Truncate(step))
+			a.countRequest(l, halls[process], l.At.Sub(first).Truncate(step))
 		}
 	}
 	return a
 }
 
-// note counts one request.
-func (a *account) note(l explain.Line, hall string, at time.Duration) {
-	cause := causeOf(l)
-	a.all[cause]++
-	add(a.byRoute, text(l, "route"), cause)
-	add(a.byHall, hall, cause)
-	add(a.byTime, fmt.Sprintf("%4.0f s", at.Seconds()), cause)
-	if r := text(l, "reason"); r == "ledger_unreached" || r == "budget_exhausted" {
-		a.workspaces[text(l, "workspace")+" "+r]++
+// countRequest counts one request.
+func (a *account) countRequest(l explain.Line, hall string, at time.Duration) {
+	outcome := outcomeOf(l)
+	a.all[outcome]++
+	increment(a.byRoute, stringField(l, "route"), outcome)
+	increment(a.byHall, hall, outcome)
+	increment(a.byTime, fmt.Sprintf("%4.0f s", at.Seconds()), outcome)
+	if r := stringField(l, "reason"); r == "ledger_unreached" || r == "budget_exhausted" {
+		a.workspaces[stringField(l, "workspace")+" "+r]++
 	}
 }
 
-// causeOf names what became of a request.
-func causeOf(l explain.Line) string {
+// outcomeOf returns the outcome of a request, with the reason if it did not succeed.
+func outcomeOf(l explain.Line) string {
 	if l.Message == messageServed {
-		return text(l, "outcome")
+		return stringField(l, "outcome")
 	}
-	if text(l, "verdict") == "not_run" {
-		return "refused: " + text(l, "reason")
+	if stringField(l, "verdict") == "not_run" {
+		return "refused: " + stringField(l, "reason")
 	}
-	return "failed: " + text(l, "reason")
+	return "failed: " + stringField(l, "reason")
 }
 
-// text returns a field that is a text.
-func text(l explain.Line, name string) string {
+// stringField returns the value of a string field, or "".
+func stringField(l explain.Line, name string) string {
 	s, _ := l.Fields[name].(string)
 	return s
 }
 
-// add counts one request in a row of a table.
-func add(table map[string]counts, row, cause string) {
+// increment counts one request in a row of a table.
+func increment(table map[string]counts, row, outcome string) {
 	if table[row] == nil {
 		table[row] = make(counts)
 	}
-	table[row][cause]++
+	table[row][outcome]++
 }
 
-// total adds up all causes.
+// total returns the number of requests with any outcome.
 func (c counts) total() int {
 	n := 0
 	for _, x := range c {
@@ -122,23 +123,23 @@
 			}
 		}
 	}
-	if _, err := fmt.Fprintln(w, "refused for money, by workspace"); err != nil {
+	if _, err := fmt.Fprintln(w, "refused at budget admission, by workspace"); err != nil {
 		return err
 	}
 	return a.workspaces.print(w, "")
 }
 
-// print writes a row: its causes, the most frequent first.
+// print writes a row with its outcomes in descending order of frequency.
 func (c counts) print(w io.Writer, row string) error {
-	causes := slices.SortedFunc(maps.Keys(c), func(a, b string) int {
+	outcomes := slices.SortedFunc(maps.Keys(c), func(a, b string) int {
 		return cmp.Or(cmp.Compare(c[b], c[a]), cmp.Compare(a, b))
 	})
 	n := c.total()
 	if _, err := fmt.Fprintf(w, "  %-12s %6d", row, n); err != nil {
 		return err
 	}
-	for _, cause := range causes {
-		if _, err := fmt.Fprintf(w, "  %s %d (%.1f%%)", cause, c[cause], 100*float64(c[cause])/float64(n)); err != nil {
+	for _, outcome := range outcomes {
+		if _, err := fmt.Fprintf(w, "  %s %d (%.1f%%)", outcome, c[outcome], 100*float64(c[outcome])/float64(n)); err != nil {
 			return err
 		}
 	}
--- a/scripts/account/main.go
+++ b/scripts/account/main.go
@@ -1,7 +1,7 @@
-// Command account says where a day's worth went: from the journal's entry of a play the
-// loss by part and price, which add up to one less the worth, and from the lines that
-// routers logged (--log with all lines) what became of requests: by cause, by route, by data
-// hall and by time.
+// Command account breaks down the lost goodput of a day. From the journal entry of a benchmark
+// run it prints the losses by part and price, which add up to one minus the goodput. From the
+// log lines of routers (--log with all lines) it prints the outcomes of requests, in total and
+// by route, data hall and time.
 package main
 
 import (
@@ -17,17 +17,17 @@
 	"sumachead/internal/explain"
 )
 
-// options are the command's.
+// options are the command-line options.
 type options struct {
-	Entry string        `long:"entry" description:"the journal's entry of the play"`
-	Log   string        `long:"log" description:"what the play printed, with the lines of routers"`
-	Step  time.Duration `long:"step" default:"5s" description:"the length of a row of the table by time"`
+	Entry string        `long:"entry" description:"journal entry of the benchmark run"`
+	Log   string        `long:"log" description:"output of the benchmark run, with the log lines of routers"`
+	Step  time.Duration `long:"step" default:"5s" description:"time interval of a row in the table by time"`
 }
 
 func main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		os.Exit(2) // the parser has said what is wrong
+		os.Exit(2) // the parser has printed the error
 	}
 	if err := o.run(os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "account:", err)
@@ -35,10 +35,10 @@
 	}
 }
 
-// run prints the tables that there are files for.
+// run prints the tables of the given files.
 func (o *options) run(w io.Writer) error {
 	if o.Entry == "" && o.Log == "" {
-		return trace.BadParameter("neither an entry nor a log is named")
+		return trace.BadParameter("neither --entry nor --log is set")
 	}
 	if o.Entry != "" {
 		days, err := readEntry(o.Entry)
--- a/scripts/days.py
+++ b/scripts/days.py
@@ -1,24 +1,24 @@
 #!/usr/bin/env python3
-"""Writes days of trouble for the bench; scripts/days.sh plays them.
+"""Generates fault scenarios ("days") for the bench; scripts/days.sh runs them.
 
-All days lie in deploy/days itself, since hunts look there only. kind-NAME is a day for
-each kind of trouble and each of its variants, which comes twice, at 6 s and at 20 s of a
-calm day. pair-NAME is one for each pair of troubles that share a mechanism: both come at
-the day's start, in its middle and at its end, the second a little after the first.
-closing-NAME ends with a loss of everything, or of disks. mix-NAME are written by hand.
+All days are in deploy/days itself, as fault searches ("hunts") look only there. For each
+kind of fault and each of its variants, kind-NAME injects it twice into a calm day, at 6 s
+and at 20 s. For each pair of faults that share a mechanism, pair-NAME injects both at the
+start, in the middle and at the end of the day, the second shortly after the first.
+closing-NAME ends with the loss of all processes or of disks. mix-NAME are written by hand.
 
-@c0, @s0 and @z0 stand for a deployment's first kind of request, service and data hall.
+@c0, @s0 and @z0 stand for the first kind of request, service and data hall of a deployment.
 
-With --drawn N it writes N days to deploy/days/drawn (not kept in git, and not hunted)
-instead, each of troubles that are drawn by --seed: half of them of the control's hosts,
-at any time.
+With --drawn N it instead writes N days of randomly sampled faults to deploy/days/drawn
+(not in git, and not searched). --seed seeds the sampling. Half of the faults are in the
+hosts of the control plane, and faults occur at any time.
 """
 
 import argparse
 import pathlib
 import random
 
-# kind -> (extra fields, planned work or not, variants of how)
+# kind of fault -> (further fields, whether it is planned work, values of the field "how")
 KINDS = {
     "burst": ("x = 2.0, for_s = 4.0", False, [""]),
     "burst_of_one": ('class = "@c0", x = 3.0, for_s = 4.0', False, [""]),
@@ -80,7 +80,7 @@
 }
 
 
-# Pairs that share a mechanism: (kind, how) twice.
+# Pairs of faults, each (kind, how), that share a mechanism.
 PAIRS = [
     (("node_cut", ""), ("roll_term", "")),
     (("node_cut", "all"), ("scale_in", "")),
@@ -127,7 +127,7 @@
 ]
 
 
-# How days end: the fields of the closing fault, by name.
+# Fields of the fault that ends a day, by name.
 CLOSINGS = {
     "power": 'kind = "power_off_all", down_s = 2.0',
     "kill": 'kind = "kill_all", down_s = 1.0',
@@ -136,18 +136,18 @@
     "wipe-timed": 'kind = "wipe_after_ack", down_s = 2.0, how = "timed"',
 }
 
-# Kinds that fall on the control's hosts or on what they hold.
+# Kinds of faults of the control plane: of its hosts or of the state on them.
 CONTROL = [
     "node_kill_core", "node_freeze_core", "herd_kill_core", "replace_core", "after_ack_kill", "after_ack_wipe",
     "disk_slow", "disk_full", "disk_stall", "clock_step", "core_cut", "seed_turnover", "config_race", "ack_lost",
 ]  # fmt: skip
 
-# How many troubles a drawn day has, and by which second they begin.
+# Number of faults in a sampled day, and the latest second at which they begin.
 DRAWN_TROUBLES, DRAWN_UNTIL = 6, 32.0
 
 
 def entry(kind: str, how: str, at: float) -> str:
-    """Returns the text of one trouble."""
+    """Returns the TOML text of one fault."""
     extra = KINDS[kind][0]
     fields = f'kind = "{kind.removesuffix("_of_one").replace("kill_core", "kill").replace("freeze_core", "freeze")}"'
     if extra:
@@ -158,12 +158,12 @@
 
 
 def named(kind: str, how: str) -> str:
-    """Returns the name of a trouble."""
+    """Returns the name of a fault for the name of a day."""
     return "-".join([kind, *how.split()]).replace("_", "-")
 
 
 def day(name: str, troubles: list[tuple[str, str, float]], closing: str = "") -> str:
-    """Returns the text of a day of troubles (kind, how, second), and of how it ends."""
+    """Returns the TOML text of a day with faults (kind, how, second) and a closing fault."""
     ends = f"closing = {{ {closing} }}\n" if closing else ""
     plan = "\n".join(entry(k, h, at) for k, h, at in troubles if KINDS[k][1])
     faults = "\n".join(entry(k, h, at) for k, h, at in troubles if not KINDS[k][1])
@@ -192,7 +192,7 @@
 
 
 def draw(seed: int, n: int) -> None:
-    """Writes n drawn days."""
+    """Writes n days of sampled faults."""
     for i in range(n):
         r = random.Random(f"{seed}/{i}")
         kinds = [r.choice(CONTROL if j % 2 else list(KINDS)) for j in range(DRAWN_TROUBLES)]
@@ -201,10 +201,10 @@
 
 
 def main() -> None:
-    """Writes all days, or drawn ones."""
+    """Writes all days, or only sampled ones."""
     options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--drawn", type=int, default=0, help="write so many drawn days instead")
-    options.add_argument("--seed", type=int, default=1, help="what drawn days follow from")
+    options.add_argument("--drawn", type=int, default=0, help="number of days with sampled faults to write instead")
+    options.add_argument("--seed", type=int, default=1, help="seed for the sampling of faults")
     given = options.parse_args()
     if given.drawn:
         draw(given.seed, given.drawn)
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Plays days of deploy/days on a site and prints a table. BENCH is the bench's program, SITE
-# a site file; each day is played with the seed that it names, or with each of SEEDS, and
-# with VARY=1 with times and figures varied by the seed. Days whose names match ONLY are
-# played; a day that does not fit the site is told so:
+# Runs the days in deploy/days on a site and prints a table. BENCH is the program of the bench
+# and SITE a site file. Each day runs with its own seed or with each of SEEDS; VARY=1 varies
+# its times and figures by the seed. ONLY is a pattern of the names of days to run. A day that
+# does not fit the site is reported:
 # BENCH=... [SEEDS="1 2 3"] [VARY=1] [ONLY='kind-evacuate*'] scripts/days.sh SITE [JOBS].
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Starts three keepers, two routers, three agents and their stand-ins on
-# loopback, with TLS between all of them, sends requests, kills the leading keeper, sends again, checks every
-# budget's figures, and stops everything. Exits non-zero if a figure is off.
+# Starts three keepers, two routers, three agents and their simulated backend
+# servers on loopback, with TLS between all of them. Sends requests, kills the
+# leading keeper, sends more requests, checks the bills of all budgets and stops
+# everything. Exits non-zero if a check fails.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$PWD/bin
@@ -61,7 +62,7 @@
 for i in 1 2 3; do
   daemon "keeper-$i" keeper "hall-$i" "\"rpc\":\"127.0.0.1:710$i\",\"http\":\"127.0.0.1:711$i\",\"data\":\"$dir/keeper-$i\""
 done
-# Measurements ask for more engines, other slots, another placement.
+# Benchmark scripts set the number of engines, the slots and the placement.
 slots=${DEMO_SLOTS:-16}
 placement=${DEMO_PLACEMENT:-weighted}
 engines=$((${DEMO_ENGINES:-2} + 0))
@@ -91,7 +92,8 @@
 tool() { "$bin/sumachead" "$@"; }
 
 wait_for 20 "a leader" curl -sf http://127.0.0.1:7111/readyz
-# The product waits for its own processes; the stand-ins are outside of it.
+# Readiness covers only the system's own processes, not the simulated backend
+# servers.
 for ((i = 1; i < 2 + engines || i <= 3; i++)); do
   wait_for 10 "the stand-in on port 730$i" curl -sf "http://127.0.0.1:730$i/admin/runs"
 done
@@ -146,7 +148,7 @@
 wait_for 10 "the last bills" settled
 tool budget show
 spent() { tool budget show --json "$1" | grep -o '"spent": *"[0-9]*"' | grep -o '[0-9]*'; }
-used() { # tokens that the stand-ins really made for a workspace
+used() { # tokens that the simulated engines generated for a workspace
   for port in 7301 7302; do curl -s "http://127.0.0.1:$port/admin/runs"; done |
     grep -o "{\"id\":\"$1/[^}]*}" | grep -o '"tokens":[0-9]*' | cut -d: -f2 | awk '{s+=$1} END {print s+0}'
 }
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts a system as the demo does and runs one load against it:
+# Starts the system of demo.sh and runs a load against it:
 #   scripts/measure.sh CALLERS DURATION [more options of "sumachead load"]
-# Prints the load's figures and the memory of each process.
+# Prints the report of the load, and the memory and processor time of each process.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 callers=$1 duration=$2
--- a/scripts/paired/entry.go
+++ b/scripts/paired/entry.go
@@ -12,40 +12,41 @@
 	"github.com/gravitational/trace"
 )
 
-// result is what one play came to: named figures, shares of the day's worth.
+// result is the result of one run: its figures by name, as shares of the day's goodput.
 type result struct {
 	figures map[string]float64
-	// sources is the digest of what was played.
+	// sources is the digest of the sources that were run.
 	sources string
-	// broken are the rules that were broken.
-	broken []string
+	// violations are the rules that the run violated.
+	violations []string
 }
 
-// journal is the plays that are known, by play.key.
+// journal holds the results of past runs by run.key.
 type journal map[string]*result
 
-// key names a play as entries do.
-func (p play) key() string {
+// key identifies a run by the names that journal entries use.
+func (p run) key() string {
 	site := strings.TrimSuffix(filepath.Base(p.site), ".toml")
 	day := strings.TrimSuffix(filepath.Base(p.day), ".toml")
 	return fmt.Sprint(site, " ", day, " ", p.seed)
 }
 
-// entry is the part of a journal's entry that is read here.
+// entry is the part of a journal entry that is used here.
 type entry struct {
 	Command string     `json:"cmd"`
 	Args    []string   `json:"argv"`
 	Site    string     `json:"site"`
 	Days    []entryDay `json:"days"`
-	// Sources are the digests of what was played.
+	// Sources are the digests of the source files that were run.
 	Sources []struct {
 		Digest string `json:"sha256"`
 	} `json:"policy"`
 }
 
-// entryDay is one day of an entry. Parts and prices are rows of a name and figures.
+// entryDay is the result of one day in an entry. Parts and Prices are rows of a name and
+// numbers.
 type entryDay struct {
-	Worth   float64        `json:"G"`
+	Goodput float64        `json:"G"`
 	Name    string         `json:"name"`
 	Seed    uint64         `json:"seed"`
 	Parts   [][]any        `json:"parts"`
@@ -55,11 +56,12 @@
 	Rules   map[string]any `json:"rules"`
 }
 
-// noCPU is the bench's option by which processor time is not charged.
+// noCPU is the option of the bench that excludes processor time from the prices.
 const noCPU = "--no-cpu"
 
-// readJournal reads the single plays of certain sources in a tree, with processor time
-// charged or not. A journal has plays of other sources too: those of earlier commits.
+// readJournal reads the runs of a single day with the given sources from the journal of a
+// source tree, with processor time charged or not. The journal also has runs of other sources,
+// from earlier commits.
 func readJournal(tree, sources string, cpu bool) (journal, error) {
 	files, err := filepath.Glob(filepath.Join(tree, "journal", "*.json"))
 	if err != nil {
@@ -73,14 +75,13 @@
 		}
 		if r != nil && r.sources == sources && e.Command == "run" && slices.Contains(e.Args, noCPU) != cpu {
 			name, _, _ := strings.Cut(e.Days[0].Name, " ")
-			out[play{e.Site, name, e.Days[0].Seed}.key()] = r
+			out[run{e.Site, name, e.Days[0].Seed}.key()] = r
 		}
 	}
 	return out, nil
 }
 
-// readEntry reads an entry; the result is that of its only day, nil if there are
-// others.
+// readEntry reads an entry. It returns the result of its day, or nil unless it has exactly one.
 func readEntry(path string) (*entry, *result, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -100,26 +101,26 @@
 	return &e, r, nil
 }
 
-// result names the figures of a day.
+// result collects the figures of a day by name.
 func (d *entryDay) result() *result {
-	r := &result{figures: map[string]float64{"worth": d.Worth, "refused": d.Refused, "failed": d.Failed}}
+	r := &result{figures: map[string]float64{"worth": d.Goodput, "refused": d.Refused, "failed": d.Failed}}
 	var prices float64
 	for _, row := range d.Parts {
-		// A part is a name, its weight, and its share.
+		// A part is a name, a weight and a share.
 		r.set(row, 2)
 	}
 	for _, row := range d.Prices {
-		// A price is a name, a quantity, and the share that it takes.
+		// A price is a name, a quantity and the share of the goodput that it costs.
 		prices += r.set(row, 2)
 	}
 	r.figures["all prices"] = prices
 	for _, name := range slices.Sorted(maps.Keys(d.Rules)) {
-		r.broken = append(r.broken, fmt.Sprint(name, " ", d.Rules[name]))
+		r.violations = append(r.violations, fmt.Sprint(name, " ", d.Rules[name]))
 	}
 	return r
 }
 
-// set takes the figure in a column of a row under the row's name.
+// set stores the number in a column of a row under the row's name, and returns it.
 func (r *result) set(row []any, column int) float64 {
 	if len(row) <= column {
 		return 0
--- a/scripts/paired/main.go
+++ b/scripts/paired/main.go
@@ -1,9 +1,9 @@
-// Command paired compares two builds on the same days with the same seeds.
+// Command paired compares two source trees by benchmark runs of the same days with the same
+// seeds.
 //
-// Each play leaves its entry in the journal of the tree that was played; the entries
-// are the only state, so that a comparison that was broken off goes on where it
-// stopped. The table gives, by site and day, the mean difference of the two builds
-// and its 95% interval by Student's t distribution of the pairs.
+// Each run writes an entry to the journal of its source tree. The entries are the only state,
+// so that an interrupted comparison can be resumed. The table shows, by site and day, the mean
+// difference of the two trees and its 95% confidence interval by Student's t-distribution.
 package main
 
 import (
@@ -16,27 +16,28 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// options are the command's.
+// options are the command-line options.
 type options struct {
-	Bench string   `long:"bench" env:"BENCH" required:"true" description:"the bench's program"`
-	Old   string   `long:"old" required:"true" description:"the tree to compare with"`
-	New   string   `long:"new" required:"true" description:"the tree that is compared"`
-	Sites []string `long:"site" required:"true" description:"a site file; may be given more than once"`
-	Days  []string `long:"day" description:"a day by name, or a file; all days of the site if none is given"`
-	Seeds []uint64 `long:"seed" description:"a seed; may be given more than once"`
-	Jobs  int      `long:"jobs" default:"6" description:"how many days are played at a time"`
+	Bench string   `long:"bench" env:"BENCH" required:"true" description:"program of the bench"`
+	Old   string   `long:"old" required:"true" description:"source tree of the baseline"`
+	New   string   `long:"new" required:"true" description:"source tree to compare with the baseline"`
+	Sites []string `long:"site" required:"true" description:"site file; may be repeated"`
+	Days  []string `long:"day" description:"day, by name or file; may be repeated; all days of the site if omitted"`
+	Seeds []uint64 `long:"seed" description:"seed; may be repeated"`
+	Jobs  int      `long:"jobs" default:"6" description:"maximum number of concurrent runs"`
 	Why   string   `long:"why" required:"true" description:"the hypothesis, for the journal"`
-	CPU   bool     `long:"cpu" description:"charge processor time: plays then repeat less well"`
+	CPU   bool     `long:"cpu" description:"charge processor time, which makes runs less reproducible"`
 }
 
-// defaultSeeds are played when none is named: five, the fewest that give an interval
-// worth reading. Rounds use them; others are kept for the end of a piece of work.
+// defaultSeeds are used if no seed is given. Five is the smallest number of pairs with a useful
+// confidence interval. Intermediate comparisons use these seeds, so that others remain unseen
+// for the final one.
 var defaultSeeds = []uint64{101, 102, 103, 104, 105}
 
 func main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		os.Exit(2) // the parser has said what is wrong
+		os.Exit(2) // the parser has printed the error
 	}
 	if len(o.Seeds) == 0 {
 		o.Seeds = defaultSeeds
--- a/scripts/paired/table.go
+++ b/scripts/paired/table.go
@@ -16,45 +16,46 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// columns are the figures of each day's row.
+// columns are the figures printed for each day; "worth" is the goodput.
 var columns = []string{"worth", "whole day", "worst windows", "worst class", "all prices", "refused", "failed"}
 
-// least is the smallest mean difference of a price that is worth a line.
-const least = 0.0005
+// minDifference is the smallest mean difference of a price that is printed.
+const minDifference = 0.0005
 
-// difference is the mean of paired differences.
+// difference is the mean of paired differences and its confidence interval.
 type difference struct {
 	old, new float64 // means
 	mean     float64
-	// half is half of the 95% interval; NaN with fewer than two pairs.
-	half float64
+	// halfWidth is half of the 95% confidence interval; NaN with fewer than two pairs.
+	halfWidth float64
 }
 
-// compareFigure returns how a figure differs over pairs. A figure that an entry lacks
-// is 0: prices of nothing are left out there.
+// compareFigure returns the difference of a figure over pairs. A figure missing from an entry
+// counts as 0, as entries omit prices of zero.
 func compareFigure(pairs []*pair, name string) difference {
 	var olds, news, diffs []float64
 	for _, p := range pairs {
 		o, n := p.old.figures[name], p.new.figures[name]
 		olds, news, diffs = append(olds, o), append(news, n), append(diffs, n-o)
 	}
-	d := difference{old: stat.Mean(olds, nil), new: stat.Mean(news, nil), half: math.NaN()}
+	d := difference{old: stat.Mean(olds, nil), new: stat.Mean(news, nil), halfWidth: math.NaN()}
 	mean, deviation := stat.MeanStdDev(diffs, nil)
 	d.mean = mean
 	if n := len(diffs); n > 1 {
-		const upper = 0.975 // the upper end of a 95% interval
+		const upper = 0.975 // quantile of the upper end of a 95% interval
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}
-		d.half = t.Quantile(upper) * deviation / math.Sqrt(float64(n))
+		d.halfWidth = t.Quantile(upper) * deviation / math.Sqrt(float64(n))
 	}
 	return d
 }
 
-// String gives the new mean, and the difference with its interval.
+// String returns the new mean and the difference with its interval.
 func (d difference) String() string {
-	return fmt.Sprintf("%.3f %+.3f±%.3f", d.new, d.mean, d.half)
+	return fmt.Sprintf("%.3f %+.3f±%.3f", d.new, d.mean, d.halfWidth)
 }
 
-// printTable prints a row for each day, for each site, and the prices that differ.
+// printTable prints rows for each day and each site, the prices that differ and the violated
+// rules.
 func printTable(w io.Writer, pairs []*pair) error {
 	t := &bytes.Buffer{}
 	fmt.Fprintln(t, "site\tday\tpairs\t"+strings.Join(columns, "\t"))
@@ -71,7 +72,7 @@
 	}
 	rest := &bytes.Buffer{}
 	printPrices(rest, pairs)
-	printBroken(rest, pairs)
+	printViolations(rest, pairs)
 	rows := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := t.WriteTo(rows); err != nil {
 		return trace.Wrap(err)
@@ -83,7 +84,7 @@
 	return trace.Wrap(err)
 }
 
-// printRow prints the columns of some pairs.
+// printRow prints the columns for a group of pairs.
 func printRow(w *bytes.Buffer, site, day string, pairs []*pair) {
 	fmt.Fprintf(w, "%s\t%s\t%d", site, day, len(pairs))
 	for _, c := range columns {
@@ -92,7 +93,7 @@
 	fmt.Fprintln(w)
 }
 
-// printPrices prints the prices and parts beyond the columns that differ.
+// printPrices prints the prices and parts that differ and are not among the columns.
 func printPrices(w *bytes.Buffer, pairs []*pair) {
 	names := make(map[string]bool)
 	for _, p := range pairs {
@@ -105,24 +106,24 @@
 	}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
 		d := compareFigure(pairs, n)
-		if !slices.Contains(columns, n) && math.Abs(d.mean) >= least {
-			fmt.Fprintf(w, "%s: %.4f to %.4f, %+.4f±%.4f\n", n, d.old, d.new, d.mean, d.half)
+		if !slices.Contains(columns, n) && math.Abs(d.mean) >= minDifference {
+			fmt.Fprintf(w, "%s: %.4f to %.4f, %+.4f±%.4f\n", n, d.old, d.new, d.mean, d.halfWidth)
 		}
 	}
 }
 
-// printBroken names each play that broke a rule.
-func printBroken(w *bytes.Buffer, pairs []*pair) {
+// printViolations prints the runs that violated a rule.
+func printViolations(w *bytes.Buffer, pairs []*pair) {
 	for _, p := range pairs {
 		for side, r := range map[string]*result{"old": p.old, "new": p.new} {
-			if len(r.broken) > 0 {
-				fmt.Fprintf(w, "RULE BROKEN, %s build, %s: %s\n", side, p.key(), strings.Join(r.broken, "; "))
+			if len(r.violations) > 0 {
+				fmt.Fprintf(w, "RULE VIOLATED, %s tree, %s: %s\n", side, p.key(), strings.Join(r.violations, "; "))
 			}
 		}
 	}
 }
 
-// group splits pairs that follow each other by a key.
+// group splits pairs into groups of adjacent pairs with the same key.
 func group(pairs []*pair, key func(*pair) string) [][]*pair {
 	var out [][]*pair
 	for i, p := range pairs {
--- a/scripts/placement.sh
+++ b/scripts/placement.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# The placement experiment: four engines of 8 slots, a steady load of chats and
-# beside it quick urgent ones, for each policy and condition:
+# Compares placement policies: four engines with 8 slots each get a steady load
+# of normal chats and concurrent short urgent chats, for each policy and condition:
 #   scripts/placement.sh [POLICY...]
-# Prints a row a run: first token of urgent and of normal chats, refusals.
+# Prints a row per run: time to first token and answered requests of urgent and
+# normal chats, and cache hits.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 policies=("$@")
 [ ${#policies[@]} -gt 0 ] || policies=(weighted round_robin least_outstanding)
-capacity=${CAPACITY:-300} # normal chats a second that the engines manage
+capacity=${CAPACITY:-300} # normal chats per second that the engines can serve
 seconds=${SECONDS_EACH:-6}
 row() { # policy condition percent
   (
--- a/scripts/retries.sh
+++ b/scripts/retries.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The retry experiment: three engines, a steady load; one agent and its engine
-# die after 3 s. Prints attempts for each request and what callers got:
+# Measures retries under a steady load on three engines, of which one is killed
+# with its agent after 3 s. Prints the report of the load and the total attempts,
+# requests and retries:
 #   scripts/retries.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/soak-share.sh
+++ b/scripts/soak-share.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Prints the soak's share of the code and fails at a tenth or more.
+# Prints the share of the soak test in the lines of code, and fails if it is a
+# tenth or more.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 lines() { xargs -r cat | wc -l; }
