--- a/internal/tool/settings.go
+++ b/internal/tool/settings.go
@@ -187,7 +187,7 @@
 }
 
 // dropTopupRemovals filters out removals of top-ups, as top-ups made with the
-// budget command are usually not in the file.
+// budget command need not be in the file.
 func dropTopupRemovals(changes []*wire.SettingsObject) []*wire.SettingsObject {
 	var kept []*wire.SettingsObject
 	for _, c := range changes {
