--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -104,7 +104,7 @@
 	b.ReportMetric(float64(proto.Size(full)), "B/snapshot-router")
 	before := heapBytes()
 	f := &settings.Follower{}
-	view, err := f.Take(full)
+	view, err := f.Apply(full)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 	delta := sync("s", 1, without)
 	b.ReportMetric(float64(proto.Size(delta)), "B/delta")
 	start = time.Now()
-	next, err := f.Take(delta)
+	next, err := f.Apply(delta)
 	if err != nil || next.Revision <= view.Revision {
 		b.Fatal(err)
 	}
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -72,7 +72,7 @@
 // isLeaseValid reports whether a lease that was granted at since is still valid. A zero since
 // means no lease.
 func (f *Follower) isLeaseValid(since sumachead.BootTime) bool {
-	return since != 0 && f.now() < since.Add(settings.CurrencyLease)
+	return since != 0 && f.now() < since.Add(settings.FreshnessLease)
 }
 
 // Current reports whether the settings are known to be current. It returns false for a tree
@@ -173,7 +173,7 @@
 
 // apply applies a reply. It returns false if the reply could not be applied.
 func (f *Follower) apply(reply *wire.SyncReply) bool {
-	v, err := f.state.Take(reply)
+	v, err := f.state.Apply(reply)
 	if err != nil {
 		f.Log.Debug("Failed to apply settings.", "error", err)
 		return false
--- a/internal/keeper/nodes.go
+++ b/internal/keeper/nodes.go
@@ -48,7 +48,7 @@
 	defer t.mu.Unlock()
 	t.startTermLocked(term, now)
 	if emptyTree {
-		t.termStart = now.Add(-settings.CurrencyLease)
+		t.termStart = now.Add(-settings.FreshnessLease)
 	}
 }
 
@@ -78,7 +78,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.nodes[r.GetNode()]; e != nil {
-		e.leaseExpiry = now.Add(settings.CurrencyLease)
+		e.leaseExpiry = now.Add(settings.FreshnessLease)
 	}
 }
 
@@ -100,7 +100,7 @@
 	defer t.mu.Unlock()
 	var names []string
 	for _, h := range halls {
-		if now.Before(t.lastUnreachable[h].Add(settings.CurrencyLease)) {
+		if now.Before(t.lastUnreachable[h].Add(settings.FreshnessLease)) {
 			names = append(names, "data hall "+string(h))
 		}
 	}
@@ -115,7 +115,7 @@
 	defer t.mu.Unlock()
 	t.startTermLocked(term, now)
 	var names []string
-	if now.Before(t.termStart.Add(settings.CurrencyLease)) {
+	if now.Before(t.termStart.Add(settings.FreshnessLease)) {
 		names = append(names, "leases of the leader before")
 	}
 	for name, e := range t.nodes {
--- a/internal/keeper/settingsservice.go
+++ b/internal/keeper/settingsservice.go
@@ -21,7 +21,7 @@
 
 // acceptTimeout bounds how long a change waits until all nodes apply it. It
 // exceeds the currency lease, after which an unreachable node has stopped itself.
-const acceptTimeout = settings.CurrencyLease + 3*time.Second
+const acceptTimeout = settings.FreshnessLease + 3*time.Second
 
 // cutOffReportDelay is how long a keeper has no leader before it reports that it
 // is cut off. A leader detects sooner that the keeper is disconnected, and accepts
@@ -52,7 +52,7 @@
 	if reply.GetStatus() != wire.ChangeStatus_CHANGE_STATUS_COMMITTED {
 		return nil
 	}
-	if affectsNodes(s.keeper.settingsMachine.ChangedBy(r)) {
+	if affectsNodes(s.keeper.settingsMachine.CommittedObjects(r)) {
 		cutOff = append(cutOff, s.keeper.cutOffHalls(r.GetHallsDown())...)
 		reply.WaitingFor = s.keeper.awaitNodes(reply.GetRevision(), cutOff)
 	}
@@ -67,7 +67,7 @@
 // settings tree, except those that the operator knows to be down.
 func (k *Keeper) cutOffHalls(down []string) []sumachead.HallID {
 	tree, _, _ := k.settingsMachine.Current()
-	return slices.DeleteFunc(tree.CutOffHalls(), func(h sumachead.HallID) bool {
+	return slices.DeleteFunc(tree.HallsServingCutOff(), func(h sumachead.HallID) bool {
 		return slices.Contains(down, string(h))
 	})
 }
--- a/internal/router/work.go
+++ b/internal/router/work.go
@@ -129,7 +129,7 @@
 	if p == nil || p.Kind != kind {
 		return notRun(sumachead.ReasonUnknownPool, "no pool serves this", time.Time{})
 	}
-	if !x.workspace.May(p.ID) {
+	if !x.workspace.CanUse(p.ID) {
 		return notRun(sumachead.ReasonPoolForbidden, "the workspace may not use this pool", time.Time{})
 	}
 	x.pool = p
--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -108,7 +108,7 @@
 
 // CommittedObjects returns the objects of a committed change as they were first
 // received; the content of a retry is ignored.
-func (m *Machine) ChangedBy(r *wire.ChangeRequest) []*wire.SettingsObject {
+func (m *Machine) CommittedObjects(r *wire.ChangeRequest) []*wire.SettingsObject {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	if c := m.byID[r.GetChangeId()]; c != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -152,10 +152,10 @@
 		})
 	}
 	f := &Follower{}
-	if v, err := f.Take(sync("", 0)); err != nil || v.Revision != 3 {
+	if v, err := f.Apply(sync("", 0)); err != nil || v.Revision != 3 {
 		t.Fatal(v, err)
 	}
-	if _, err := f.Take(&wire.SyncReply{Session: "s", Revision: 2, Snapshot: true}); err == nil {
+	if _, err := f.Apply(&wire.SyncReply{Session: "s", Revision: 2, Snapshot: true}); err == nil {
 		t.Error("the follower accepted a lower revision")
 	}
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -281,7 +281,7 @@
 
 // HallsServingCutOff lists the data halls with a backend server whose pool continues
 // to serve while cut off from the keepers' quorum.
-func (t *Tree) CutOffHalls() []sumachead.HallID {
+func (t *Tree) HallsServingCutOff() []sumachead.HallID {
 	var halls []sumachead.HallID
 	for _, s := range t.objects.Servers {
 		if t.objects.Pools[string(s.Pool)].CutOff != CutOffRefuse && !slices.Contains(halls, s.Hall) {
--- a/internal/settings/view.go
+++ b/internal/settings/view.go
@@ -13,7 +13,7 @@
 
 // FreshnessLease is how long a node may accept new work after the last time at
 // which its settings were proved to be the newest.
-const CurrencyLease = 5 * time.Second
+const FreshnessLease = 5 * time.Second
 
 // ResolvedLimits are the limits of a workspace after inheritance.
 type ResolvedLimits struct {
@@ -47,7 +47,7 @@
 }
 
 // CanUse reports whether the workspace may use a pool.
-func (w *ResolvedWorkspace) May(p sumachead.PoolID) bool { return slices.Contains(w.Pools, p) }
+func (w *ResolvedWorkspace) CanUse(p sumachead.PoolID) bool { return slices.Contains(w.Pools, p) }
 
 // ResolvedPool is a pool with its id and backend servers.
 type ResolvedPool struct {
@@ -197,7 +197,7 @@
 
 // Apply applies a sync reply. It returns nil if nothing changed, and a
 // StaleRevisionError if the reply has a lower revision.
-func (f *Follower) Take(r *wire.SyncReply) (*View, error) {
+func (f *Follower) Apply(r *wire.SyncReply) (*View, error) {
 	if r.GetRevision() < f.revision {
 		return nil, &StaleRevisionError{Have: f.revision, Got: r.GetRevision()}
 	}
