--- a/internal/fleet/alive.go
+++ b/internal/fleet/alive.go
@@ -157,7 +157,7 @@
 func (k *Keeper) applyRecord(r *wire.ServerRecord, now time.Time) error {
 	news, err := k.servers.ApplyHeartbeat(r, now)
 	if news {
-		k.limitedLog.Info(k.Log, "A backend server's record has changed.", "server", r.GetId(), "service", r.GetService(),
+		k.limitedLog.Info(k.Log, "Backend server record changed.", "server", r.GetId(), "service", r.GetService(),
 			"address", r.GetAddress(), "state", r.GetState().String(), "sequence", r.GetSequence())
 	}
 	return err
--- a/internal/fleet/reports.go
+++ b/internal/fleet/reports.go
@@ -134,7 +134,7 @@
 		return
 	}
 	free, total := k.machine.Budget(sumachead.WorkspaceID(p.GetWorkspace()))
-	k.limitedLog.Info(k.Log, "Escrow of a holder is short or in excess.", "node", node, "workspace", p.GetWorkspace(),
+	k.limitedLog.Info(k.Log, "Escrow holder has a shortfall or an excess.", "node", node, "workspace", p.GetWorkspace(),
 		"needed", p.GetNeeded(), "spent", p.GetSpent(), "reserved", p.GetReserved(), "rate", p.GetRate(), "grant", grant,
 		"granted", a.GetGranted(), "returned", p.GetReturned(), "keep", a.GetKeep(), "exhausted", a.GetExhausted(),
 		"free", free, "total", total)
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -227,7 +227,7 @@
 		r := k.machine.latestRollout(w.Service)
 		w.Exposure.SetCommitted(r.GetAllowed())
 		if step := w.NextStep(r, k.rolloutFleet(r), now); step != nil {
-			k.Log.Info("A roll-out goes on to its next phase.", "service", w.Service, "target", r.GetTarget(), "phase", step.GetPhase().String(),
+			k.Log.Info("Rollout enters its next phase.", "service", w.Service, "target", r.GetTarget(), "phase", step.GetPhase().String(),
 				"reason", step.GetReason(), "allowed", r.GetAllowed(), "reached", w.Exposure.Reached())
 			out = append(out, &wire.FleetCommand{Command: &wire.FleetCommand_RolloutStep{RolloutStep: step}})
 			continue
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -92,7 +92,7 @@
 		if _, err := k.propose(c); err != nil {
 			return err
 		}
-		k.Log.Info("A backend server leaves.", "server", r.GetId(), "sequence", r.GetSequence())
+		k.Log.Info("Backend server is leaving.", "server", r.GetId(), "sequence", r.GetSequence())
 	}
 	if r.GetAddress() == "" {
 		return nil // only a notice of leaving
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -234,7 +234,7 @@
 		c.replacePath(w, Path{w.Relay, leader})
 		return true
 	}
-	c.Log.Info("The way to the leading keeper is lost.", "address", w.Address, "relay", w.Relay, "error", err)
+	c.Log.Info("Lost the path to the leading keeper.", "address", w.Address, "relay", w.Relay, "error", err)
 	c.replacePath(w, Path{})
 	return false
 }
@@ -267,7 +267,7 @@
 func (c *Client) setPath(w Path, r *wire.FollowReply) {
 	c.mu.Lock()
 	if c.path != w {
-		c.Log.Info("The leading keeper is found.", "address", w.Address, "relay", w.Relay)
+		c.Log.Info("Found the leading keeper.", "address", w.Address, "relay", w.Relay)
 	}
 	c.path = w
 	c.mu.Unlock()
@@ -326,5 +326,5 @@
 	c.view.Store(v)
 	c.declared.Set(true)
 	c.appliedAt = time.Now()
-	c.Log.Info("A declaration is in force.", "number", d.GetNumber(), "routes", len(d.GetCatalog().GetRoutes()))
+	c.Log.Info("Declaration in force.", "number", d.GetNumber(), "routes", len(d.GetCatalog().GetRoutes()))
 }
--- a/internal/fleetclient/escrow.go
+++ b/internal/fleetclient/escrow.go
@@ -92,7 +92,7 @@
 	}
 	next := sumachead.BootID(uuid.NewString())
 	if r.Wallet.ApplyReply(reply, r.boot, next, time.Now()) {
-		r.Log.Warn("The ledger had closed this holder; it starts anew.", "boot", r.boot, "next", next)
+		r.Log.Warn("The ledger had closed this escrow holder; it starts again with a new incarnation.", "boot", r.boot, "next", next)
 		r.boot = next
 	}
 }
--- a/internal/fleetclient/take.go
+++ b/internal/fleetclient/take.go
@@ -41,7 +41,7 @@
 		c.Rollouts.Update(s)
 	}
 	for _, x := range c.Servers.ApplyRollouts(s) {
-		c.Log.Info("A roll-out's phase is in force.", "service", x.GetService(), "target", x.GetTarget(), "phase", x.GetPhase().String(),
+		c.Log.Info("Rollout phase in force.", "service", x.GetService(), "target", x.GetTarget(), "phase", x.GetPhase().String(),
 			"revision", x.GetRevision(), "age", time.Duration(x.GetAgeMillis())*time.Millisecond, "reason", x.GetReason())
 	}
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -97,7 +97,7 @@
 // recordRetry counts and logs that a request is retried after a failure.
 func (g *Gateway) recordRetry(x *exchange, f *upstream.Failure) {
 	g.metrics.retries.WithLabelValues(string(f.Reason)).Inc()
-	g.failureLog.Info(g.Log, "A request is sent again.", append(x.fields(),
+	g.failureLog.Info(g.Log, "Retrying request.", append(x.fields(),
 		"reason", f.Reason, "verdict", f.Verdict, "cause", f.Err.Error())...)
 }
 
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -170,14 +170,14 @@
 
 // logServed logs a request with a complete response; above a rate, only some of them.
 func (g *Gateway) logServed(x *exchange) {
-	g.servedLog.Info(g.Log, "A request is served.", append(x.fields(),
+	g.servedLog.Info(g.Log, "Request served.", append(x.fields(),
 		"outcome", x.outcome(), "first", x.firstAt.Sub(x.arrived), "pause", x.maxGap)...)
 }
 
 // recordRefusal counts and logs a request that ended without a complete response.
 func (g *Gateway) recordRefusal(x *exchange, f *sumachead.Refusal) {
 	g.metrics.recordRefused(x, f.Reason)
-	g.failureLog.Info(g.Log, "A request has no whole answer.", append(x.fields(),
+	g.failureLog.Info(g.Log, "Request ended without a complete response.", append(x.fields(),
 		"reason", f.Reason, "verdict", f.Verdict, "detail", f.Detail, "started", x.started)...)
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -39,9 +39,9 @@
 		if !g.limits.Set(id, n.Limit, boottime.Clock{}.Now()) {
 			return
 		}
-		g.failureLog.Info(g.Log, "Backend server named a request limit.", "server", id, "limit", n.Limit)
+		g.failureLog.Info(g.Log, "Backend server set a request limit.", "server", id, "limit", n.Limit)
 	case !n.LimitMalformed && g.limits.Clear(id, sentAt):
-		g.failureLog.Info(g.Log, "Backend server no longer names a request limit.", "server", id)
+		g.failureLog.Info(g.Log, "Backend server removed its request limit.", "server", id)
 	default:
 		return
 	}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -22,7 +22,7 @@
 	}
 	if n.Leaving && !g.servers.IsLeaving(string(id)) {
 		g.metrics.leavingNotices.Inc()
-		g.failureLog.Info(g.Log, "A backend server says in an answer that it leaves.", "server", id)
+		g.failureLog.Info(g.Log, "Backend server announced shutdown.", "server", id)
 		g.servers.MarkLeaving(string(id), time.Now())
 	}
 	if n.BackoffUntil.IsZero() {
--- a/internal/keeper/controllers.go
+++ b/internal/keeper/controllers.go
@@ -145,7 +145,7 @@
 			return next
 		})
 		if err == nil && started {
-			k.Log.Info("Keeper has caught up and votes.", "group", g.node.Group, "keeper", m.GetId())
+			k.Log.Info("Keeper has caught up and was promoted to voter.", "group", g.node.Group, "keeper", m.GetId())
 			return
 		}
 	}
--- a/internal/lending/borrower.go
+++ b/internal/lending/borrower.go
@@ -108,7 +108,7 @@
 	defer b.mu.Unlock()
 	now := time.Now()
 	if now.After(b.backoffUntil[lender]) {
-		b.Log.Info("A lender is passed over.", "lender", lender, "cause", why)
+		b.Log.Info("A lender is in backoff.", "lender", lender, "cause", why)
 	}
 	b.backoffUntil[lender] = now.Add(lenderBackoff)
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -328,13 +328,13 @@
 	isLeader := n.core.role == Leader
 	if isLeader {
 		if !n.wasLeader {
-			n.Log.Info("Leading.", "term", n.core.term)
+			n.Log.Info("Became leader.", "term", n.core.term)
 		}
 		n.wasLeader, n.pendingTerm = true, n.core.term
 		return
 	}
 	if n.wasLeader {
-		n.Log.Info("No longer leading.", "term", n.core.term)
+		n.Log.Info("Lost leadership.", "term", n.core.term)
 		n.wasLeader = false
 		n.failPending(ErrUncertain)
 	}
--- a/internal/scenario/rollout_test.go
+++ b/internal/scenario/rollout_test.go
@@ -280,7 +280,7 @@
 			t.Log(err)
 		}
 		for line := range strings.Lines(string(data)) {
-			if strings.Contains(line, "A roll-out goes on to its next phase.") {
+			if strings.Contains(line, "Rollout enters its next phase.") {
 				t.Logf("%s: %s", name, line)
 			}
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -158,7 +158,7 @@
 	const maxLines = 10
 	var lines []string
 	for line := range strings.Lines(string(log)) {
-		if strings.Contains(line, "A request has no whole answer.") {
+		if strings.Contains(line, "Request ended without a complete response.") {
 			lines = append(lines, line)
 		}
 	}
--- a/internal/scenario/soak_test.go
+++ b/internal/scenario/soak_test.go
@@ -230,7 +230,7 @@
 			s.t.Error(err)
 		}
 		for group := range votes {
-			votes[group] += strings.Count(string(data), "Keeper has caught up and votes.: group="+group+" keeper="+p.name+"\n")
+			votes[group] += strings.Count(string(data), "Keeper has caught up and was promoted to voter.: group="+group+" keeper="+p.name+"\n")
 		}
 	}
 	return votes
--- a/scripts/account/lines.go
+++ b/scripts/account/lines.go
@@ -14,8 +14,8 @@
 
 // The log messages at the end of a request and at the start of a process.
 const (
-	messageServed   = "A request is served."
-	messageRefused  = "A request has no whole answer."
+	messageServed   = "Request served."
+	messageRefused  = "Request ended without a complete response."
 	messageStarting = "Starting."
 )
 
