--- a/internal/gateway/candidates_test.go
+++ b/internal/gateway/candidates_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestSilentServersAreAskedWhoTheyAre(t *testing.T) {
+func TestSilentServersAreIdentifiedFirst(t *testing.T) {
 	t.Run("the same incarnation", func(t *testing.T) {
 		g, _ := silentGateway(t, healthAs("a"))
 		if _, _, err := sendRequest(g, "1", nil); err != nil {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -84,7 +84,7 @@
 // placeOnBest queries the load trackers of the most likely servers and places the request on the
 // best one; nil if all servers are excluded.
 func (d *dispatch) placeOnBest(servers []*wire.ServerRecord, excluded []sumachead.ServerID) *place.Placement {
-	w := d.x.work()
+	w := d.x.placeRequest()
 	candidates := d.scheduler.Candidates(servers, excluded, w, time.Now())
 	d.trackers.query(d.ctx, candidates, w)
 	if further := d.scheduler.MoreCandidates(servers, candidates, excluded, w, time.Now()); len(further) > 0 {
@@ -190,7 +190,8 @@
 
 // awaitBackoff waits until the first of the servers may receive requests again, if all of them have
 // asked for a backoff or have no permit left and the request can still be served in time. Otherwise
-// it refuses the request at once with a retry time, spread so that callers do not return together.
+// it refuses the request at once with a jittered retry time, so that callers do not all retry
+// together.
 func (d *dispatch) awaitBackoff(servers []*wire.ServerRecord, denied *deniedServers, backoffEnd time.Time) error {
 	now := time.Now()
 	if _, wait := patience.ShouldWait(patience.ReportedEstimate{At: backoffEnd}, d.x.deadlines(), now); !wait {
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -62,7 +62,7 @@
 // Under more load than a cold engine can take, no request is refused while there is a warm one, and
 // the cold one receives no more than its load tracker grants; nothing at all if the load tracker is
 // gone.
-func TestColdEngineGetsWhatItBears(t *testing.T) {
+func TestColdEngineReceivesNoMoreThanGranted(t *testing.T) {
 	const requests = 60
 	tests := []struct {
 		name    string
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -235,7 +235,7 @@
 	return err
 }
 
-// countsAsServerFailure reports whether a failure for this reason makes the server suspicious. A
+// countsAsServerFailure reports whether a failure for this reason ejects the server for a while. A
 // server that is busy, backs off or is leaving works as intended and has not run the request.
 func countsAsServerFailure(r sumachead.Reason) bool {
 	return r != sumachead.ReasonBusy && r != sumachead.ReasonResting && r != sumachead.ReasonLeaving
@@ -251,7 +251,7 @@
 			l.ReportBackoff(time.Until(backoffEnd))
 		}
 		if a.Head.Stale {
-			// Another incarnation answers at the address, so this one has ended: send nothing more
+			// Another incarnation responds at the address, so this one has ended: send nothing more
 			// to it before the leader reports that.
 			reason = sumachead.ReasonFenced
 			d.servers.MarkLeaving(l.Record.GetId(), time.Now())
--- a/internal/gateway/dispatch_test.go
+++ b/internal/gateway/dispatch_test.go
@@ -9,7 +9,7 @@
 	"sumachead/api/wire"
 )
 
-// Once another incarnation answers at a server's address, nothing more is sent to the server.
+// Once another incarnation responds at a server's address, nothing more is sent to the server.
 func TestReplacedServerGetsNoMoreRequests(t *testing.T) {
 	replaced := &backend{id: "over"}
 	g := newGateway(t, wire.RouteKind_ROUTE_KIND_SINGLE, false, map[string]string{"over": replaced.listen(t, respondWith(421, "", ""))})
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -8,6 +8,6 @@
 // Package patience decides how long a request waits for a resource that is not available yet.
 // bill.go computes the cost of a request, retry.go limits retries, gauges.go queries the load
 // trackers beside engines, and lending.go lends and borrows escrow. [Gateway.Limits] tells the
-// intake the limits for callers. Implementations of [sumachead.CallerAnswer] and
+// intake the limits for callers. Implementations of [sumachead.CallerResponse] and
 // [sumachead.Dialect] define the formats used towards callers and backend servers.
 package gateway
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -39,8 +39,8 @@
 	// attempts counts the servers that received the request and may have run it or reported that
 	// they did not.
 	attempts int
-	// firstAt is when the first byte was sent to the caller; zero before.
-	firstAt time.Time
+	// firstByteAt is when the first byte was sent to the caller; zero before.
+	firstByteAt time.Time
 	// placement is where the last attempt was sent; nil before the first.
 	placement *place.Placement
 	// limit is the request limit of the last attempt's server; 0 for none.
@@ -74,7 +74,7 @@
 func (x *exchange) outcome() string {
 	objective, maxGap := x.firstEventObjective(), x.gapObjective()
 	switch {
-	case objective > 0 && x.firstAt.Sub(x.arrived) > objective:
+	case objective > 0 && x.firstByteAt.Sub(x.arrived) > objective:
 		return outcomeLateFirstEvent
 	case maxGap > 0 && x.maxGap > maxGap:
 		return outcomeLateGap
@@ -84,8 +84,8 @@
 
 // start sends the head of the response.
 func (x *exchange) start(status int, header http.Header, size int) {
-	x.started, x.firstAt = true, time.Now()
-	x.response.Start(status, header, size, moment.Later(x.deadline, x.firstAt).Add(maxReadDelay))
+	x.started, x.firstByteAt = true, time.Now()
+	x.response.Start(status, header, size, moment.Later(x.deadline, x.firstByteAt).Add(maxReadDelay))
 }
 
 type handler = chain.Handler[*exchange]
@@ -129,8 +129,8 @@
 	return time.Duration(x.route.GetObjectiveMillis()) * time.Millisecond
 }
 
-// work describes the request to the scheduler.
-func (x *exchange) work() *place.Request {
+// placeRequest returns the properties of the request that matter to the scheduler.
+func (x *exchange) placeRequest() *place.Request {
 	w := &place.Request{
 		Route: x.route.GetName(), PromptTokens: x.request.PromptTokens, MaxOutputTokens: x.request.MaxOutputTokens, Parts: x.request.Parts,
 		MaxEventGap: x.gapObjective(), Engine: x.service.GetEngine(),
@@ -171,7 +171,7 @@
 // logServed logs a request with a complete response; above a rate, only some of them.
 func (g *Gateway) logServed(x *exchange) {
 	g.servedLog.Info(g.Log, "Request served.", append(x.fields(),
-		"outcome", x.outcome(), "first", x.firstAt.Sub(x.arrived), "pause", x.maxGap)...)
+		"outcome", x.outcome(), "first", x.firstByteAt.Sub(x.arrived), "pause", x.maxGap)...)
 }
 
 // recordRefusal counts and logs a request that ended without a complete response.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,7 +39,7 @@
 // enough for a full queue of callers that are all refused.
 const defaultFailuresPerSecond = 60
 
-// Gateway is the router of a declared fleet. Set the exported fields before Prepare.
+// Gateway is the router of a declared fleet. Set the exported fields before Init.
 type Gateway struct {
 	Node sumachead.NodeID
 	Hall sumachead.HallID
@@ -102,13 +102,13 @@
 	// are kept.
 	servedLog  *telemetry.LogLimiter
 	failureLog *telemetry.LogLimiter
-	// startedAt is when Prepare was called.
+	// startedAt is when Init was called.
 	startedAt time.Time
 	inFlight  atomic.Int64
 	stopping  atomic.Bool
 }
 
-// Prepare initializes what Run and Serve need.
+// Init initializes what Run and Serve need.
 func (g *Gateway) Prepare() {
 	g.startedAt = time.Now()
 	g.servers = &registry.Table{Heartbeat: g.Heartbeat}
@@ -123,8 +123,8 @@
 	}
 	g.link.BytesPerSecond, g.link.Changed = g.LinkBytes, g.recordOverload
 	g.suspension.Clock, g.suspension.Refresh = boottime.Clock{}, g.client.Refresh
-	g.suspects.Node, g.suspects.Table, g.suspects.Apply = g.Node, g.client.Suspects, g.client.ApplySuspects
-	g.suspects.Report, g.suspects.Try = g.client.ReportCrashes, g.client.RequestTrial
+	g.suspects.Node, g.suspects.Table, g.suspects.ApplySuspects = g.Node, g.client.Suspects, g.client.ApplySuspects
+	g.suspects.ReportCrashes, g.suspects.RequestTrial = g.client.ReportCrashes, g.client.RequestTrial
 	g.wallet = &escrow.Wallet{Node: g.Node}
 	g.reporter = &fleetclient.Reporter{Client: g.client, Wallet: g.wallet, Log: g.Log.Named("escrow")}
 	g.reporter.OnReported = func(d time.Duration) { g.metrics.ledgerReports.Observe(d.Seconds()) }
@@ -211,8 +211,8 @@
 	g.servedLog.Info(g.Log, "Link overload state changed.", "overloaded", overloaded)
 }
 
-// AddBytes records bytes exchanged with callers.
-func (g *Gateway) AddBytes(n int) { g.link.AddBytes(n, time.Now()) }
+// CountBytes records bytes exchanged with callers.
+func (g *Gateway) CountBytes(n int) { g.link.AddBytes(n, time.Now()) }
 
 // ShouldClose reports whether a caller's connection should be closed after the response to the
 // request that has just arrived: the router is stopping, or the next request should go to another
@@ -231,8 +231,8 @@
 	}
 }
 
-// Open returns the number of requests in flight.
-func (g *Gateway) Open() int { return int(g.inFlight.Load()) }
+// OpenRequests returns the number of requests in flight.
+func (g *Gateway) OpenRequests() int { return int(g.inFlight.Load()) }
 
 // Metrics returns the gateway's metrics.
 func (g *Gateway) Metrics() *Metrics { return g.metrics }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -208,7 +208,7 @@
 	return f
 }
 
-func TestRepeats(t *testing.T) {
+func TestRetries(t *testing.T) {
 	const (
 		single     = wire.RouteKind_ROUTE_KIND_SINGLE
 		repeatable = wire.RouteKind_ROUTE_KIND_REPEATABLE
@@ -252,7 +252,7 @@
 	}
 }
 
-func TestStreamGoesOnElsewhere(t *testing.T) {
+func TestStreamResumesAtAnotherServer(t *testing.T) {
 	a, b := &backend{id: "a"}, &backend{id: "b"}
 	first := atomic.Bool{}
 	serve := func(c net.Conn, r *http.Request) {
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestStreamThatCannotGoOnIsNotWhole(t *testing.T) {
+func TestStreamThatCannotResumeIsIncomplete(t *testing.T) {
 	// The server at which the stream is resumed responds with something else than events.
 	tests := []struct {
 		name  string
--- a/internal/gateway/gauges.go
+++ b/internal/gateway/gauges.go
@@ -219,7 +219,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), noteTimeout)
 	defer cancel()
-	// Failed notes are dropped; the load tracker then backs off.
+	// Failed notes are dropped, and callTracker then backs off from the load tracker.
 	_, _ = callTracker[wire.Empty](ctx, g, to.address, "Note",
 		&wire.GaugeNotes{Router: g.incarnation, Server: string(to.server), Notes: batch})
 	return nil, 0
--- a/internal/gateway/gauges_test.go
+++ b/internal/gateway/gauges_test.go
@@ -27,7 +27,7 @@
 
 // A load tracker that accepts connections without responding, or is gone, delays a request only
 // briefly, and the following ones not at all.
-func TestGaugeThatDoesNotAnswerHoldsNobodyUp(t *testing.T) {
+func TestUnresponsiveLoadTrackerDelaysRequestsBriefly(t *testing.T) {
 	tests := []struct {
 		name   string
 		silent bool
@@ -68,7 +68,7 @@
 
 // The engine with less prefill according to its load tracker is chosen, and the load tracker is
 // told of the request.
-func TestGaugesDecide(t *testing.T) {
+func TestLoadTrackersDecidePlacement(t *testing.T) {
 	var noted atomic.Int32
 	trackerAt := func(prefillMillis int64) string {
 		s := &rpc.Server{Address: "127.0.0.1:0"}
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -39,7 +39,7 @@
 
 // Requests reach only servers in regions allowed by both route and workspace, whether they are
 // served at once, retried or refused.
-func TestHomes(t *testing.T) {
+func TestAllowedRegions(t *testing.T) {
 	const requests = 40
 	tests := []struct {
 		name             string
@@ -86,7 +86,7 @@
 
 // A request that is served at the first attempt is served in an allowed region too, wherever its
 // caller connected.
-func TestServedAtHome(t *testing.T) {
+func TestFirstAttemptStaysInAllowedRegion(t *testing.T) {
 	for _, region := range []string{"north", "south"} {
 		t.Run(region, func(t *testing.T) {
 			g, servers := twoRegionGateway(t, wire.RouteKind_ROUTE_KIND_REPEATABLE, []string{region}, nil, respondWith(200, "", "ok"))
@@ -105,7 +105,7 @@
 }
 
 // A stream that breaks off is resumed in an allowed region.
-func TestStreamGoesOnAtHome(t *testing.T) {
+func TestStreamResumesInAllowedRegion(t *testing.T) {
 	g, servers := twoRegionGateway(t, wire.RouteKind_ROUTE_KIND_STREAM, []string{"south"}, nil, events(1, 3, false))
 	_, started, err := sendRequest(g, "1", nil)
 	if err == nil || !started {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -57,7 +57,7 @@
 
 // A router learns of a limit and of its end from the load tracker, before it has sent anything to
 // the server.
-func TestLimitsReachOtherRoutersThroughTheGauge(t *testing.T) {
+func TestLimitsReachOtherRoutersThroughTheLoadTracker(t *testing.T) {
 	address := startTracker(t, time.Now().Add(-time.Minute))
 	a, b := &backend{id: "a"}, &backend{id: "b"}
 	first, second := limitedGateway(t, a, b, address), limitedGateway(t, a, b, address)
@@ -128,7 +128,7 @@
 }
 
 // A response without the header ends a limit only if it arrives clearly later.
-func TestAnswersEndALimit(t *testing.T) {
+func TestResponsesRemoveALimit(t *testing.T) {
 	var header string
 	a := &backend{id: "a"}
 	g := newGateway(t, single, false, map[string]string{"a": a.listen(t, func(c net.Conn, r *http.Request) { respondWith(200, header, "ok")(c, r) })})
--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -19,7 +19,7 @@
 	now := time.Now()
 	return &exchange{
 		request: &sumachead.CallerRequest{ID: "9c41d07be2a35f68", PromptTokens: 17000}, route: &wire.Route{Name: "r-2yhvz3p"},
-		view: &catalog.View{Number: 7}, access: &wire.WorkspaceAccess{Name: "clerks"}, arrived: now, firstAt: now, attempts: 1, events: 40,
+		view: &catalog.View{Number: 7}, access: &wire.WorkspaceAccess{Name: "clerks"}, arrived: now, firstByteAt: now, attempts: 1, events: 40,
 		placement: &place.Placement{Record: &wire.ServerRecord{Id: "i-7f3a91c2"}},
 	}
 }
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -23,7 +23,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g := newGateway(t, wire.RouteKind_ROUTE_KIND_SINGLE, false, nil)
 			g.link.BytesPerSecond = tt.link
-			g.AddBytes(tt.took)
+			g.CountBytes(tt.took)
 			if got := g.Ready(); got != tt.ready {
 				t.Errorf("ready: %t, want %t", got, tt.ready)
 			}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -134,7 +134,7 @@
 		}
 		return 0
 	})
-	gauge("sumachead_gateway_open_requests", "Requests in flight.", func() float64 { return float64(g.Open()) })
+	gauge("sumachead_gateway_open_requests", "Requests in flight.", func() float64 { return float64(g.OpenRequests()) })
 	gauge("sumachead_gateway_servers", "Known backend servers that are not leaving.", func() float64 { return float64(g.servers.Count()) })
 	gauge("sumachead_gateway_resting_servers", "Backend servers that this router is backing off from.", func() float64 { return float64(g.backoffs.Count()) })
 	gauge("sumachead_gateway_limited_servers", "Backend servers that currently limit requests.", func() float64 { return float64(g.limits.Count()) })
@@ -168,7 +168,7 @@
 func (m *Metrics) recordServed(x *exchange) {
 	m.served.Inc()
 	m.outcomes.WithLabelValues(x.route.GetName(), x.outcome()).Inc()
-	m.firstByte.Observe(x.firstAt.Sub(x.arrived).Seconds())
+	m.firstByte.Observe(x.firstByteAt.Sub(x.arrived).Seconds())
 	m.responseTime.Observe(time.Since(x.arrived).Seconds())
 	if x.events > 1 {
 		m.maxGap.Observe(x.maxGap.Seconds())
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -10,7 +10,7 @@
 // all keepers; heartbeats arrive seconds later. So it takes effect at this router at once, with any
 // response. Without this, a fleet of two routers sent 19 to 1,875 requests in 3.5 s to servers that
 // had asked it for a backoff, and refused up to three of four requests although other servers were
-// free; with it, none (TestServersThatAskForRest, five fleets of six engines).
+// free; with it, none (TestServersThatRequestBackoff, five fleets of six engines).
 
 // handleNotice applies what a server reports about itself in the response to a request sent at a
 // time.
@@ -29,8 +29,8 @@
 		return
 	}
 	g.metrics.backoffs.Inc()
-	if rest := time.Until(n.BackoffUntil); g.backoffs.Set(id, rest) {
-		g.failureLog.Info(g.Log, "Backend server requested backoff.", "server", id, "rest", rest)
+	if delay := time.Until(n.BackoffUntil); g.backoffs.Set(id, delay) {
+		g.failureLog.Info(g.Log, "Backend server requested backoff.", "server", id, "rest", delay)
 	}
 }
 
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -55,7 +55,7 @@
 
 // A response that the caller does not read is dropped some seconds after its deadline, so that it
 // does not hold a slot, a connection and escrow for as long as the caller likes.
-func TestAnswersWaitForTheirCallersForAWhile(t *testing.T) {
+func TestUnreadResponsesAreDropped(t *testing.T) {
 	a := &backend{id: "a"}
 	g := newGateway(t, wire.RouteKind_ROUTE_KIND_REPEATABLE, false, map[string]string{"a": a.listen(t, respondWith(http.StatusOK, "", "x"))})
 	begun := time.Now()
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -7,7 +7,7 @@
 
 // All routers together stay within the fleet's retry limit, whatever their number, and use a good
 // part of it.
-func TestRetryAllowanceIsShared(t *testing.T) {
+func TestRetryBudgetIsShared(t *testing.T) {
 	const ratio, extra = 0.2, 50
 	tests := []struct {
 		name              string
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -69,10 +69,10 @@
 	case !d.isRepresentative(l) || f != nil && f.Verdict == sumachead.NotRun:
 	case err == nil:
 		s.Counts, s.Failed = true, a.Head.Failed
-		s.FirstEvent, s.EventInterval = d.normalizedFirstByte(l, d.x.firstAt), d.meanEventInterval(time.Now())
+		s.FirstEvent, s.EventInterval = d.normalizedFirstByte(l, d.x.firstByteAt), d.meanEventInterval(time.Now())
 	case f == nil || d.ctx.Err() != nil:
 		// It took at least this long, which is known to be too long only beyond the objective.
-		s.Counts = d.x.firstAt.IsZero() && time.Since(d.sentAt) > d.x.firstEventObjective()
+		s.Counts = d.x.firstByteAt.IsZero() && time.Since(d.sentAt) > d.x.firstEventObjective()
 		s.FirstEvent = d.normalizedFirstByte(l, time.Now())
 	case f.ConnectionLost():
 		go d.recordBroken(l, s)
@@ -113,7 +113,7 @@
 	if d.stream == nil || d.x.events < fewEvents {
 		return 0
 	}
-	return now.Sub(d.x.firstAt) / time.Duration(d.x.events)
+	return now.Sub(d.x.firstByteAt) / time.Duration(d.x.events)
 }
 
 // reportOutcomes sends the reports that are due.
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestStopTimes(t *testing.T) {
+func TestSplitGracePeriod(t *testing.T) {
 	tests := []struct{ grace, drain, finish time.Duration }{
 		{12 * time.Second, 2500 * time.Millisecond, 7500 * time.Millisecond},
 		{8 * time.Second, 2500 * time.Millisecond, 4166666667 * time.Nanosecond},
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -19,9 +19,9 @@
 // A request may crash each server that begins to run it, together with all requests in flight
 // there, and its caller retries it under a new ID at any router. So the crashes that routers see
 // are collected at the leading keeper by the fingerprint of the request and not by its ID
-// ([blame.Docket]), and the standing of each request takes effect at all routers. Without this, one
+// ([blame.Tracker]), and the standing of each request takes effect at all routers. Without this, one
 // request crashed 36 to 41 servers in 5 s, and 6 in 100 of the others were served; with it, 3
-// servers, and 99 in 100 (TestRequestThatEndsServers, three fleets of six engines).
+// servers, and 99 in 100 (TestRequestThatCrashesServers, three fleets of six engines).
 
 const (
 	// maxCrashCheckWait is how long a failed request waits for the result of its crash check: the
@@ -52,11 +52,11 @@
 	Node sumachead.NodeID
 	// Table holds the standings received from the leading keeper.
 	Table *blame.Table
-	// Report sends a report to the leading keeper, and Try requests a trial from it.
-	Report func(ctx context.Context, r *wire.EndsReport) (*wire.Suspects, error)
-	Try    func(ctx context.Context, r *wire.TrialRequest) (*wire.TrialReply, error)
-	// Apply applies the response to a report.
-	Apply func(*wire.Suspects)
+	// ReportCrashes sends a report to the leading keeper, and RequestTrial requests a trial from it.
+	ReportCrashes func(ctx context.Context, r *wire.EndsReport) (*wire.Suspects, error)
+	RequestTrial  func(ctx context.Context, r *wire.TrialRequest) (*wire.TrialReply, error)
+	// ApplySuspects applies the response to a report.
+	ApplySuspects func(*wire.Suspects)
 
 	// tracker counts the crashes that this router has seen: it decides which successes to report,
 	// and which requests to refuse while no keeper is reachable.
@@ -73,9 +73,9 @@
 
 // crashBatch is a report that is being collected or sent.
 type crashBatch struct {
-	crashes  []observedCrash
-	survived [][]byte
-	untried  [][]byte
+	crashes        []observedCrash
+	succeeded      [][]byte
+	releasedTrials [][]byte
 	// done is closed once the leading keeper has responded or none is reachable.
 	done chan struct{}
 }
@@ -119,8 +119,8 @@
 	}
 	b := s.pending
 	b.crashes = append(b.crashes, added.crashes...)
-	b.survived = append(b.survived, added.survived...)
-	b.untried = append(b.untried, added.untried...)
+	b.succeeded = append(b.succeeded, added.succeeded...)
+	b.releasedTrials = append(b.releasedTrials, added.releasedTrials...)
 	return b.done
 }
 
@@ -143,7 +143,7 @@
 	for {
 		reply, err := s.trySendBatch(ctx, b)
 		if err == nil {
-			s.Apply(reply)
+			s.ApplySuspects(reply)
 			return
 		}
 		if !loop.Sleep(ctx, reportRetryInterval) {
@@ -156,12 +156,12 @@
 func (s *suspects) trySendBatch(ctx context.Context, b *crashBatch) (*wire.Suspects, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportCallTimeout)
 	defer cancel()
-	return s.Report(ctx, b.toWire(s.Node))
+	return s.ReportCrashes(ctx, b.toWire(s.Node))
 }
 
 // toWire returns the report as of now.
 func (b *crashBatch) toWire(n sumachead.NodeID) *wire.EndsReport {
-	r := &wire.EndsReport{Node: string(n), Survived: b.survived, Untried: b.untried}
+	r := &wire.EndsReport{Node: string(n), Survived: b.succeeded, Untried: b.releasedTrials}
 	for _, e := range b.crashes {
 		r.Ends = append(r.Ends, &wire.ServerEnd{
 			Fingerprint: e.fingerprint[:], Server: string(e.server), AgeMillis: time.Since(e.at).Milliseconds(), Served: e.served,
@@ -170,15 +170,15 @@
 	return r
 }
 
-// requestTrial requests a trial of a request at a server. One that is not granted in time is not
-// used, and released.
+// requestTrial requests a trial of a request at a server. A trial that is not granted in time is
+// not used, and is released.
 func (s *suspects) requestTrial(ctx context.Context, r *wire.TrialRequest) wire.Trial {
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	r.Node = string(s.Node)
-	reply, err := s.Try(ctx, r)
+	reply, err := s.RequestTrial(ctx, r)
 	if err != nil {
-		s.enqueue(crashBatch{untried: [][]byte{r.GetFingerprint()}})
+		s.enqueue(crashBatch{releasedTrials: [][]byte{r.GetFingerprint()}})
 		return wire.Trial_TRIAL_REFUSED
 	}
 	return reply.GetTrial()
@@ -294,8 +294,8 @@
 		patience.JitteredRetryAt(now.Add(trialRetryDelay), d.x.deadlines(), d.x.urgency(), now))
 }
 
-// reportTrialResult reports to the keepers how a suspect ended; a crash of its server has been
-// reported before.
+// reportTrialResult reports to the keepers that a suspect has succeeded or that its trial is
+// released; a crash of its server has been reported before.
 func (d *dispatch) reportTrialResult(err error) {
 	if err == nil {
 		d.suspects.served.Add(d.x.workspace(), d.x.request, time.Now())
@@ -303,13 +303,13 @@
 	switch {
 	case err == nil && d.suspects.hasAny() && d.suspects.isSuspect(d.x.fingerprint()):
 		f := d.x.fingerprint()
-		d.suspects.enqueue(crashBatch{survived: [][]byte{f[:]}})
+		d.suspects.enqueue(crashBatch{succeeded: [][]byte{f[:]}})
 	case err != nil && d.trialNumber != 0:
 		go d.releaseTrial(d.x.fingerprint(), d.crashCheck)
 	}
 }
 
-// releaseTrial releases a trial that has shown nothing, once that is certain.
+// releaseTrial releases a trial without a result, once it is known that its server has not crashed.
 func (d *dispatch) releaseTrial(f sumachead.Fingerprint, l *crashCheck) {
 	if l != nil {
 		<-l.done
@@ -317,7 +317,7 @@
 			return
 		}
 	}
-	d.suspects.enqueue(crashBatch{untried: [][]byte{f[:]}})
+	d.suspects.enqueue(crashBatch{releasedTrials: [][]byte{f[:]}})
 }
 
 func (x *exchange) fingerprint() sumachead.Fingerprint {
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -23,13 +23,13 @@
 
 // connect makes a gateway report to the fake keeper.
 func (c *fakeKeeper) connect(g *Gateway) {
-	g.suspects.Report = func(_ context.Context, r *wire.EndsReport) (*wire.Suspects, error) {
+	g.suspects.ReportCrashes = func(_ context.Context, r *wire.EndsReport) (*wire.Suspects, error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.list.Apply(&wire.Suspects{Suspects: c.tracker.HandleReport(r, c.list.Standing, time.Now())})
 		return c.list.Since(0), nil
 	}
-	g.suspects.Try = func(_ context.Context, r *wire.TrialRequest) (*wire.TrialReply, error) {
+	g.suspects.RequestTrial = func(_ context.Context, r *wire.TrialRequest) (*wire.TrialReply, error) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return &wire.TrialReply{Trial: c.tracker.DecideTrial(r, c.list.Standing, time.Now())}, nil
@@ -59,7 +59,7 @@
 	return n
 }
 
-func TestRequestThatEndsServersIsBarred(t *testing.T) {
+func TestRequestThatCrashesServersIsBarred(t *testing.T) {
 	for _, kind := range []wire.RouteKind{wire.RouteKind_ROUTE_KIND_SINGLE, wire.RouteKind_ROUTE_KIND_REPEATABLE, wire.RouteKind_ROUTE_KIND_STREAM} {
 		t.Run(kind.String(), func(t *testing.T) {
 			backends, addresses := crashingServers(t, "a", "b", "c", "d", "e", "f")
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestRouterThatReachesNoKeeperEndsTwoServers(t *testing.T) {
+func TestRouterWithoutKeeperLosesTwoServers(t *testing.T) {
 	backends, addresses := crashingServers(t, "a", "b", "c", "d")
 	g := newGateway(t, wire.RouteKind_ROUTE_KIND_REPEATABLE, false, addresses)
 	var last *sumachead.Refusal
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestSuspectThatEndsNothingIsCleared(t *testing.T) {
+func TestSuspectThatCrashesNothingIsCleared(t *testing.T) {
 	a := &backend{id: "a"}
 	g := newGateway(t, wire.RouteKind_ROUTE_KIND_SINGLE, false, map[string]string{"a": a.listen(t, respondWith(200, "", "ok"))})
 	c := &fakeKeeper{}
--- a/internal/gateway/wake_test.go
+++ b/internal/gateway/wake_test.go
@@ -20,7 +20,7 @@
 
 func (c *manualClock) advance(d time.Duration) { c.now.Add(int64(d)) }
 
-func TestRouterThatHasSleptAsksFirst(t *testing.T) {
+func TestSuspendedRouterRefreshesFirst(t *testing.T) {
 	var order []string
 	a := &backend{id: "a"}
 	serve := func(c net.Conn, r *http.Request) {
--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -1,7 +1,7 @@
 // Package patience decides how long a request waits for something it lacks, and when the
 // caller of a refused request should retry.
 //
-// A [sumachead.Prospect] estimates, from past observations, when the missing thing will be
+// A [sumachead.Estimate] estimates, from past observations, when the missing thing will be
 // available. A request waits as long as the estimate lets it still be useful to its caller, and
 // is refused as soon as it does not:
 //
@@ -95,7 +95,7 @@
 // nothing else is known: it is expected to take as long again.
 type ElapsedEstimate struct{ Since time.Time }
 
-// Expect implements sumachead.Prospect.
+// Expect implements sumachead.Estimate.
 func (p ElapsedEstimate) Expect(now time.Time) (at time.Time, sure bool) {
 	return now.Add(now.Sub(p.Since)), false
 }
@@ -104,7 +104,7 @@
 // a guarantee.
 type ReportedEstimate struct{ At time.Time }
 
-// Expect implements sumachead.Prospect.
+// Expect implements sumachead.Estimate.
 func (p ReportedEstimate) Expect(time.Time) (at time.Time, sure bool) { return p.At, false }
 
 // TypicalEstimate is the estimate for something under way that usually takes a known time: it is
@@ -115,7 +115,7 @@
 	By time.Time
 }
 
-// Expect implements sumachead.Prospect.
+// Expect implements sumachead.Estimate.
 func (p TypicalEstimate) Expect(now time.Time) (at time.Time, sure bool) {
 	if now.Before(p.By) {
 		return p.By, true
--- a/internal/patience/patience_test.go
+++ b/internal/patience/patience_test.go
@@ -22,7 +22,7 @@
 	sure bool
 }
 
-// Expect implements sumachead.Prospect.
+// Expect implements sumachead.Estimate.
 func (f fixedEstimate) Expect(time.Time) (time.Time, bool) { return f.at, f.sure }
 
 func TestShouldWait(t *testing.T) {
--- a/internal/place/fleet_test.go
+++ b/internal/place/fleet_test.go
@@ -143,7 +143,7 @@
 // query load trackers, and fewer if each router knows only what it sent itself. On the users'
 // platform, 102 routers with 160 engines reached a mean goodput of 0.579 with loads exchanged
 // among routers, and 0.617 with load trackers.
-func TestManyRoutersChooseByGauges(t *testing.T) {
+func TestManyRoutersScheduleByLoadTrackers(t *testing.T) {
 	tests := []struct {
 		name             string
 		routers, engines int
--- a/internal/place/gauge_test.go
+++ b/internal/place/gauge_test.go
@@ -73,7 +73,7 @@
 
 // A prompt whose preferred servers are busy is prefilled elsewhere, and the next router finds
 // its parts there through the load tracker of the preferred server.
-func TestHomeTellsWhereElsePartsAre(t *testing.T) {
+func TestPreferredServerNamesOtherHolders(t *testing.T) {
 	for _, n := range []int{12, 160} {
 		t.Run(fmt.Sprint(n, " servers"), func(t *testing.T) {
 			now := time.Now()
@@ -113,7 +113,7 @@
 }
 
 // A router learns from the load tracker what another router has sent to a server.
-func TestGaugeTellsOtherRouters(t *testing.T) {
+func TestLoadTrackerInformsOtherRouters(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
 	servers := engines("a")
@@ -227,7 +227,7 @@
 // A prompt that an engine has not run, because it rejected the request or the request was not
 // sent after all, has added no parts to the cache: neither its router nor others expect them
 // there, except for those that another prompt has added as well.
-func TestPromptThatDidNotRunHasBroughtNothing(t *testing.T) {
+func TestPromptThatDidNotRunAddsNoParts(t *testing.T) {
 	now := time.Now()
 	servers, trackers := manyEngines(3)
 	clock := func() time.Time { return now }
--- a/internal/place/objective.go
+++ b/internal/place/objective.go
@@ -14,9 +14,9 @@
 type value float64
 
 const (
-	// answerWeight is how many prompt tokens one response token counts as: users measure the
+	// outputTokenWeight is how many prompt tokens one response token counts as: users measure the
 	// size of a request in this way.
-	answerWeight = 10
+	outputTokenWeight = 10
 	// recomputeWeight is the cost of prefilling a token of a shared part that another engine has
 	// cached: it takes as much of the engine's time as a token of a request's own part, without
 	// any benefit.
@@ -48,7 +48,7 @@
 )
 
 // valueOf returns the value of a request.
-func valueOf(w *Request) value { return value(w.PromptTokens + answerWeight*w.MaxOutputTokens) }
+func valueOf(w *Request) value { return value(w.PromptTokens + outputTokenWeight*w.MaxOutputTokens) }
 
 // firstEventMissProbability returns the probability that a first event with a predicted time
 // misses its objective in the time left.
--- a/internal/place/parts.go
+++ b/internal/place/parts.go
@@ -72,7 +72,7 @@
 	return out
 }
 
-// partLocations tells where the shared parts of a prompt are cached.
+// partLocations records where the shared parts of a prompt are cached.
 type partLocations struct {
 	parts  []part
 	shared []part
--- a/internal/place/placement.go
+++ b/internal/place/placement.go
@@ -177,11 +177,11 @@
 // Once it has asked two routers, all of them prefer other servers: otherwise each router would
 // be rejected once in each backoff, by several servers, and has only two attempts. With 102
 // routers 310 of 90,087 requests are refused instead of 3,446; with 4 routers 4 percent fewer
-// requests are served in time (TestRoutersTellGaugesOfRests).
-func (l *Placement) ReportBackoff(rest time.Duration) {
+// requests are served in time (TestRoutersReportBackoffsToLoadTrackers).
+func (l *Placement) ReportBackoff(backoff time.Duration) {
 	l.scheduler.mu.Lock()
 	defer l.scheduler.mu.Unlock()
-	l.scheduler.sendUpdate(l, &wire.GaugeNote{Note: &wire.GaugeNote_RestMillis{RestMillis: rest.Milliseconds()}})
+	l.scheduler.sendUpdate(l, &wire.GaugeNote{Note: &wire.GaugeNote_RestMillis{RestMillis: backoff.Milliseconds()}})
 }
 
 // Cancel ends an attempt whose outcome says nothing about the server.
--- a/internal/place/rests_test.go
+++ b/internal/place/rests_test.go
@@ -106,7 +106,7 @@
 //
 // So with 4 routers 4 percent fewer requests are served in time with hints, and with more
 // routers 2 to 3 percent more. If only one router is asked to back off, no other is told.
-func TestRoutersTellGaugesOfRests(t *testing.T) {
+func TestRoutersReportBackoffsToLoadTrackers(t *testing.T) {
 	const (
 		lasts, from, until = 15 * time.Second, 3 * time.Second, 12 * time.Second
 		rest               = 3 * time.Second
@@ -151,7 +151,7 @@
 
 // A backoff requested from one router does not affect others; one requested from two routers
 // does, until the earlier of the two ends.
-func TestRestsOfTwoRoutersAreTold(t *testing.T) {
+func TestBackoffsOfTwoRoutersAreShared(t *testing.T) {
 	begun := time.Now()
 	steps := []struct {
 		name   string
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -99,7 +99,7 @@
 	return f.Verdict
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	dials := 0
 	address := listen(t, func(n int, c net.Conn, br *bufio.Reader) {
 		for {
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestSurplusAnswersReachNobody(t *testing.T) {
+func TestSurplusResponsesReachNobody(t *testing.T) {
 	tests := []struct {
 		name string
 		late time.Duration
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestSurplusAnswerInPlaceOfTheNext(t *testing.T) {
+func TestSurplusResponseInPlaceOfTheNext(t *testing.T) {
 	address := listen(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		id, err := readRequest(br)
 		if err != nil {
@@ -323,7 +323,7 @@
 }
 
 // Requests in flight at an incarnation that is known to have ended fail at once.
-func TestEndedLife(t *testing.T) {
+func TestEndedIncarnationFailsRequestsInFlight(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -392,7 +392,7 @@
 
 // If a server asks for backoff while a connection to it is being opened, it receives no byte,
 // and the connection is kept.
-func TestNothingIsSentToServersThatWantNothing(t *testing.T) {
+func TestNothingIsSentToBlockedServers(t *testing.T) {
 	reads := make(chan int, 1)
 	address := listen(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		id, err := readRequest(br)
