--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -42,8 +42,8 @@
 	if rate, err := strconv.ParseFloat(h.Get("X-Limit"), 64); err == nil {
 		n.Limit = sumachead.RequestRate(rate)
 	}
-	if rest, err := time.ParseDuration(h.Get("X-Rest")); err == nil {
-		n.BackoffUntil = now.Add(rest)
+	if delay, err := time.ParseDuration(h.Get("X-Rest")); err == nil {
+		n.BackoffUntil = now.Add(delay)
 	}
 	return sumachead.ResponseHead{
 		ServerNotice: n,
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -54,7 +54,8 @@
 	malformedNotices prometheus.Counter
 	// canaryRequests counts requests sent to canary servers.
 	canaryRequests prometheus.Counter
-	// overdueLoans counts tokens of escrow lent to other routers.
+	// overdueLoans counts tokens of escrow lent to other routers that count as spent because no bill
+	// arrived.
 	overdueLoans prometheus.Counter
 }
 
@@ -208,8 +209,8 @@
 const minRecordedWait = time.Millisecond
 
 // recordWait records a request that has waited for a resource since a time.
-func (m *Metrics) recordWait(what string, since time.Time, came bool) {
+func (m *Metrics) recordWait(what string, since time.Time, available bool) {
 	if took := time.Since(since); took >= minRecordedWait {
-		m.waits.WithLabelValues(what, strconv.FormatBool(came)).Observe(took.Seconds())
+		m.waits.WithLabelValues(what, strconv.FormatBool(available)).Observe(took.Seconds())
 	}
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -73,7 +73,9 @@
 
 // crashBatch is a report that is being collected or sent.
 type crashBatch struct {
-	crashes        []observedCrash
+	crashes []observedCrash
+	// succeeded and releasedTrials hold fingerprints: of suspects that have succeeded, and of those
+	// whose trial has ended without a result.
 	succeeded      [][]byte
 	releasedTrials [][]byte
 	// done is closed once the leading keeper has responded or none is reachable.
--- a/internal/place/chooser_test.go
+++ b/internal/place/chooser_test.go
@@ -316,11 +316,11 @@
 			}
 			servers := engines(names...)
 			c := trained("hall-1")
-			rests := make(map[sumachead.ServerID]time.Duration)
-			c.Backoff = func(id sumachead.ServerID) time.Duration { return rests[id] }
+			backoffs := make(map[sumachead.ServerID]time.Duration)
+			c.Backoff = func(id sumachead.ServerID) time.Duration { return backoffs[id] }
 			const shortest = 2 * time.Second
 			for i, n := range names[1:] {
-				rests[sumachead.ServerID(n)] = shortest + time.Duration(i)*time.Second
+				backoffs[sumachead.ServerID(n)] = shortest + time.Duration(i)*time.Second
 			}
 			choose := func(tried ...sumachead.ServerID) *Placement {
 				w := review(now, 2000)
--- a/internal/place/rests_test.go
+++ b/internal/place/rests_test.go
@@ -13,7 +13,7 @@
 // backoffResult counts the outcomes of requests while some engines rejected all of them.
 type backoffResult struct {
 	requests, rejected, refused, late int
-	// reports counts the query results that told a router of a backoff.
+	// reports counts the query results that contained a backoff.
 	reports int
 }
 
@@ -35,10 +35,10 @@
 // is rejected.
 func (f *simulatedFleet) simulateBackoff(rate float64, duration, from, until, backoff time.Duration, resting int, hints, oneRouter bool) (p backoffResult) {
 	start, end := f.now, f.now.Add(duration)
-	rests := make([]map[sumachead.ServerID]time.Time, len(f.routers))
+	backoffUntil := make([]map[sumachead.ServerID]time.Time, len(f.routers))
 	for i, r := range f.routers {
 		own := make(map[sumachead.ServerID]time.Time)
-		rests[i] = own
+		backoffUntil[i] = own
 		r.Backoff = func(id sumachead.ServerID) time.Duration { return max(own[id].Sub(f.now), 0) }
 	}
 	sheds := make(map[string]bool)
@@ -67,7 +67,7 @@
 			id := l.Record.GetId()
 			if since := f.now.Sub(start); sheds[id] && (n == 0 || !oneRouter) && since >= from && since < until {
 				p.rejected++
-				rests[n][sumachead.ServerID(id)] = f.now.Add(backoff)
+				backoffUntil[n][sumachead.ServerID(id)] = f.now.Add(backoff)
 				if hints {
 					l.ReportBackoff(backoff)
 				}
