--- a/internal/fleet/followers.go
+++ b/internal/fleet/followers.go
@@ -84,7 +84,7 @@
 	f.relays, f.lenders = make(map[sumachead.NodeID][]string), make(map[sumachead.HallID]lenderList)
 }
 
-// observe records a follow request. For a surplus relay, which is not recorded, it returns how
+// observe records a follow request. For a spare relay, which is not recorded, it returns how
 // long the relay has to wait before it asks again; otherwise it returns 0.
 func (f *followers) observe(r *wire.FollowRequest, now time.Time) (pause time.Duration) {
 	f.mu.Lock()
--- a/internal/fleet/followers_test.go
+++ b/internal/fleet/followers_test.go
@@ -11,7 +11,7 @@
 	"sumachead/api/wire"
 )
 
-// Surplus relays of a hall are told to wait; one of them replaces a relay that has gone.
+// Spare relays of a hall are told to wait; one of them replaces a relay that has gone.
 func TestSpareRelaysAreToldToWait(t *testing.T) {
 	f := newFollowers()
 	now := time.Now()
@@ -38,7 +38,7 @@
 		want answers
 	}{
 		{"some", "a", maxRelaysPerHall - 1, now, answers{maxRelaysPerHall - 1, 0}},
-		{"surplus relays", "a", maxRelaysPerHall + 20, now, answers{maxRelaysPerHall, 20}},
+		{"spare relays", "a", maxRelaysPerHall + 20, now, answers{maxRelaysPerHall, 20}},
 		{"another hall", "b", maxRelaysPerHall, now, answers{maxRelaysPerHall, 0}},
 		{"the same relays poll again", "a", maxRelaysPerHall + 20, now.Add(relayTTL / 2), answers{maxRelaysPerHall, 20}},
 	}
--- a/internal/fleet/reports.go
+++ b/internal/fleet/reports.go
@@ -90,7 +90,7 @@
 	return batch
 }
 
-// commitBatch sizes the grants of a batch, commits them, and replies to its reports.
+// commitBatch computes the grants of a batch, commits them, and replies to its reports.
 func (k *Keeper) commitBatch(batch []*pendingReport) {
 	now := time.Now()
 	grants := &wire.EscrowGrants{}
--- a/internal/gauge/gauge.go
+++ b/internal/gauge/gauge.go
@@ -38,24 +38,24 @@
 	// in use.
 	Since time.Time
 
-	gauge  place.LoadTracker
-	limits ratelimit.Table
+	tracker place.LoadTracker
+	limits  ratelimit.Table
 
 	mu      sync.Mutex // guards permits
 	permits ratelimit.Permits
 }
 
 // Ask answers a router that is about to choose a server.
-func (s *Service) Ask(q *wire.GaugeQuestion, answer *wire.GaugeAnswer) error {
-	a := s.gauge.Query(q, time.Now())
-	proto.Merge(answer, a)
-	answer.Limit = s.limits.Get(sumachead.ServerID(q.GetServer())).ToWire(boottime.Clock{}.Now())
+func (s *Service) Ask(q *wire.GaugeQuestion, reply *wire.GaugeAnswer) error {
+	a := s.tracker.Query(q, time.Now())
+	proto.Merge(reply, a)
+	reply.Limit = s.limits.Get(sumachead.ServerID(q.GetServer())).ToWire(boottime.Clock{}.Now())
 	return nil
 }
 
 // Note records what a router reports of its requests.
 func (s *Service) Note(n *wire.GaugeNotes, _ *wire.Empty) error {
-	s.gauge.Update(n, time.Now())
+	s.tracker.Update(n, time.Now())
 	for _, x := range n.GetNotes() {
 		s.mergeLimit(sumachead.ServerID(n.GetServer()), x.GetLimit())
 	}
