--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -135,13 +135,13 @@
 	a.stopping.Store(true)
 	a.Log.Info("Stopping: finishing requests in flight.", "running", a.runs.active())
 	deadline := time.Now().Add(drainTimeout)
-	const pollEvery = 20 * time.Millisecond
+	const pollInterval = 20 * time.Millisecond
 	for a.runs.active() > 0 && time.Now().Before(deadline) {
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	deadline = time.Now().Add(deliverTimeout)
 	for a.runs.unsettled() > 0 && time.Now().Before(deadline) {
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -121,7 +121,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body := &watchedReader{
-		Reader: io.LimitReader(resp.Body, maxResponseBytes+1), watch: watch, health: b.health,
+		Reader: io.LimitReader(resp.Body, maxResponseBytes+1), watchdog: watch, health: b.health,
 		onFirstByte: func() { b.recordFirstByte(time.Since(began)) },
 	}
 	if pool.Kind == settings.ServicePool {
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -24,7 +24,7 @@
 // first byte.
 type watchedReader struct {
 	io.Reader
-	watch       *watchdog
+	watchdog    *watchdog
 	health      *health
 	onFirstByte func()
 	once        sync.Once
@@ -35,7 +35,7 @@
 	n, err := r.Reader.Read(p)
 	if n > 0 {
 		r.once.Do(r.onFirstByte)
-		r.watch.reset()
+		r.watchdog.reset()
 		r.health.dataReceived(time.Now())
 	}
 	return n, err
--- a/internal/backoff/parse.go
+++ b/internal/backoff/parse.go
@@ -18,7 +18,7 @@
 // Parse parses the Retry-After header (RFC 9110, section 10.2.3) of a response received at now:
 // a number of seconds, which may have a fraction here, or a date, taken relative to the Date header
 // of the response if there is one. Dates in the past yield 0. The error is always [ErrInvalid].
-func Parse(value, answered string, now time.Time) (time.Duration, error) {
+func Parse(value, dateHeader string, now time.Time) (time.Duration, error) {
 	value = strings.TrimSpace(value)
 	const bits = 64
 	if s, err := strconv.ParseFloat(value, bits); err == nil || errors.Is(err, strconv.ErrRange) {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return 0, ErrInvalid
 	}
-	from, err := http.ParseTime(answered)
+	from, err := http.ParseTime(dateHeader)
 	if err != nil {
 		from = now
 	}
--- a/internal/blame/docket.go
+++ b/internal/blame/docket.go
@@ -62,7 +62,7 @@
 	records map[sumachead.Fingerprint]*record
 	// trials are the requests that run on trial, keyed by server.
 	trials map[string]sumachead.Fingerprint
-	// recent are the crashes within the last few correlationWindows, whatever requests the servers
+	// recent are the crashes within a few times correlationWindow, whatever requests the servers
 	// ran, and decided the requests whose trial ended with a crash in that time.
 	recent  []crash
 	decided []sumachead.Fingerprint
--- a/internal/blame/docket_test.go
+++ b/internal/blame/docket_test.go
@@ -215,7 +215,7 @@
 
 // A request that has succeeded recently is barred for a short time only: the actual cause of the
 // crash may have run beside its trial.
-func TestServedRequestIsTriedAgainSoon(t *testing.T) {
+func TestRecentSuccessShortensBar(t *testing.T) {
 	c := newFixture()
 	c.suspect()
 	c.requestTrial("a", 1, bad)
--- a/internal/blame/model_test.go
+++ b/internal/blame/model_test.go
@@ -129,7 +129,7 @@
 	if !e.up {
 		return
 	}
-	life := fmt.Sprint("e", i, "-", e.incarnation)
+	serverID := fmt.Sprint("e", i, "-", e.incarnation)
 	e.up = false
 	e.incarnation++
 	m.after(engineRestartTime, func() { e.up = true })
@@ -138,7 +138,7 @@
 	for _, run := range runs {
 		f := run.f
 		served := m.succeeded[successKey{run.router, f}] > 0
-		m.report(run.router, &wire.EndsReport{Ends: []*wire.ServerEnd{{Fingerprint: f[:], Server: life, Served: served}}}, run.onCrash)
+		m.report(run.router, &wire.EndsReport{Ends: []*wire.ServerEnd{{Fingerprint: f[:], Server: serverID, Served: served}}}, run.onCrash)
 	}
 }
 
--- a/internal/blame/served_test.go
+++ b/internal/blame/served_test.go
@@ -8,7 +8,7 @@
 	"sumachead"
 )
 
-func TestServed(t *testing.T) {
+func TestRecentSuccesses(t *testing.T) {
 	var s RecentSuccesses
 	start := time.UnixMilli(1_700_000_000_000)
 	request := func(path string) *sumachead.CallerRequest { return &sumachead.CallerRequest{Path: path} }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -38,7 +38,7 @@
 	Boot   sumachead.BootID
 	Pool   *rpc.Pool
 	Log    hclog.Logger
-	// Clock is the clock of the currency lease; nil for the host's boot time clock.
+	// Clock is the clock of the freshness lease; nil for the host's boot time clock.
 	Clock sumachead.Clock
 	// ExcludedKinds lists the kinds of objects that this node does not need.
 	ExcludedKinds []string
@@ -180,7 +180,7 @@
 	}
 	if v != nil {
 		f.view.Store(v)
-		f.Log.Debug("Settings in force.", "revision", v.Revision)
+		f.Log.Debug("Settings applied.", "revision", v.Revision)
 	}
 	return true
 }
--- a/internal/linkload/linkload.go
+++ b/internal/linkload/linkload.go
@@ -15,16 +15,16 @@
 	// window is the time over which the load is measured, and slice the resolution.
 	window = 500 * time.Millisecond
 	slice  = 50 * time.Millisecond
-	// fullPercent is the load from callers at which the router becomes overloaded. The rest of the
-	// link is needed for traffic between processes and for packet headers.
-	fullPercent = 75
-	// clearPercent is the load below which the router becomes ready again.
-	clearPercent = 50
+	// overloadPercent is the load from callers at which the router becomes overloaded. The rest of
+	// the link is needed for traffic between processes and for packet headers.
+	overloadPercent = 75
+	// recoveryPercent is the load below which the router becomes ready again.
+	recoveryPercent = 50
 	// minOverloadTime is the minimum time for which a router stays overloaded.
 	minOverloadTime = 2500 * time.Millisecond
-	// noticeTime is how long the load balancer takes to detect that a router is not ready. Connections
-	// that are closed earlier would be reopened to the same router.
-	noticeTime = 2 * time.Second
+	// detectionTime is how long the load balancer takes to detect that a router is not ready.
+	// Connections that are closed earlier would be reopened to the same router.
+	detectionTime = 2 * time.Second
 	// closeOneIn is how many responses there are for each that closes its connection while the link is
 	// full. Closing all connections at once would move the overload to another router.
 	closeOneIn = 10
@@ -45,9 +45,9 @@
 	// used is a ring buffer of the bytes in the newest slices, and newest the number of the last slice.
 	used   [window / slice]int64
 	newest int64
-	// overloadedAt is when the router became overloaded, and clearAt when its load fell below
-	// clearPercent; zero if it is not overloaded, or the load is not below.
-	overloadedAt, clearAt time.Time
+	// overloadedAt is when the router became overloaded, and belowSince when its load fell below
+	// recoveryPercent; zero if it is not overloaded, or the load is not below.
+	overloadedAt, belowSince time.Time
 	// responses counts the responses while connections should be closed.
 	responses int
 }
@@ -75,7 +75,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(now)
-	if l.overloadedAt.IsZero() || now.Sub(l.overloadedAt) < noticeTime || l.percent() < fullPercent {
+	if l.overloadedAt.IsZero() || now.Sub(l.overloadedAt) < detectionTime || l.percent() < overloadPercent {
 		return false
 	}
 	l.responses++
@@ -88,14 +88,14 @@
 	percent := l.percent()
 	switch {
 	case l.overloadedAt.IsZero():
-		if percent >= fullPercent {
+		if percent >= overloadPercent {
 			l.setOverloaded(now)
 		}
-	case percent >= clearPercent:
-		l.clearAt = time.Time{}
-	case l.clearAt.IsZero():
-		l.clearAt = now
-	case now.Sub(l.clearAt) >= window && now.Sub(l.overloadedAt) >= minOverloadTime:
+	case percent >= recoveryPercent:
+		l.belowSince = time.Time{}
+	case l.belowSince.IsZero():
+		l.belowSince = now
+	case now.Sub(l.belowSince) >= window && now.Sub(l.overloadedAt) >= minOverloadTime:
 		l.setOverloaded(time.Time{})
 	}
 }
@@ -103,7 +103,7 @@
 // setOverloaded marks the router as overloaded since a time, or as ready for the zero time. The caller
 // holds mu.
 func (l *Link) setOverloaded(overloadedAt time.Time) {
-	l.overloadedAt, l.clearAt = overloadedAt, time.Time{}
+	l.overloadedAt, l.belowSince = overloadedAt, time.Time{}
 	if l.Changed != nil {
 		l.Changed(!overloadedAt.IsZero())
 	}
--- a/internal/linkload/played_test.go
+++ b/internal/linkload/played_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestCrowdIsSpreadOverRoutersWithRoom(t *testing.T) {
+func TestOverloadMovesToOtherRouters(t *testing.T) {
 	tests := []struct {
 		name    string
 		routers int
@@ -226,7 +226,7 @@
 			if len(tt.heavy) > 0 && heavy < tt.minInTime {
 				t.Errorf("%d%% of the heavy workspaces' responses are in time, want at least %d%%", heavy, tt.minInTime)
 			}
-			// A group that moves to another router saturates its link for noticeTime, a tenth of the
+			// A group that moves to another router saturates its link for detectionTime, a tenth of the
 			// simulated time.
 			const slack = 10 // percent
 			if background < backgroundBaseline-slack {
@@ -238,7 +238,7 @@
 
 // If all links are saturated there is no router to move to. Reporting overload must not make matters
 // worse.
-func TestFullHallIsLeftAsItIs(t *testing.T) {
+func TestSaturatedHallGetsNoWorse(t *testing.T) {
 	begun := time.Unix(1_000, 0)
 	run := func(reports bool) int {
 		h := newHall(4, reports)
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -4,7 +4,7 @@
 	"sumachead/api/wire"
 )
 
-// maintain does periodic work that is not urgent.
+// maintain persists the commit index and compacts the log, if either is due.
 func (n *Node) maintain() error {
 	if err := n.saveCommit(); err != nil {
 		return err
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -149,7 +149,7 @@
 func allotmentStrategy(l workload, requests []request, r *rand.Rand) result {
 	const interval = 500 * time.Millisecond
 	var p result
-	held, wanted := make([]int, l.routers), make([]int, l.routers)
+	allotments, demand := make([]int, l.routers), make([]int, l.routers)
 	carry, last := 0.0, time.Duration(0)
 	asks := newQueue(requests)
 	for asks.hasNext() {
@@ -157,30 +157,30 @@
 		for last+interval <= x.at {
 			last += interval
 			carry += float64(l.limit) * interval.Seconds()
-			held = make([]int, l.routers) // unused permits expire
-			var short []int
-			for i, n := range wanted {
+			allotments = make([]int, l.routers) // unused permits expire
+			var claims []int
+			for i, n := range demand {
 				if n > 0 {
 					p.messages++
 				}
 				for range n {
-					short = append(short, i)
+					claims = append(claims, i)
 				}
 			}
-			r.Shuffle(len(short), func(i, j int) { short[i], short[j] = short[j], short[i] })
-			for _, i := range short[:min(int(carry), len(short))] {
-				held[i]++
+			r.Shuffle(len(claims), func(i, j int) { claims[i], claims[j] = claims[j], claims[i] })
+			for _, i := range claims[:min(int(carry), len(claims))] {
+				allotments[i]++
 				carry--
 			}
 			carry = min(carry, 1)
-			wanted = make([]int, l.routers)
+			demand = make([]int, l.routers)
 		}
-		if held[x.router] > 0 {
-			held[x.router]--
+		if allotments[x.router] > 0 {
+			allotments[x.router]--
 			p.sends = append(p.sends, x.at)
 			continue
 		}
-		wanted[x.router]++
+		demand[x.router]++
 		asks.retry(x, last+interval-x.at)
 	}
 	return p
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -13,16 +13,16 @@
 // outcomes counts the outcomes of requests.
 type outcomes struct {
 	responses, failed int64
-	// first are the times until the first event of responses, and intervals those between events.
-	first, intervals histogram
+	// firstEvents are the times until the first event of responses, and gaps those between events.
+	firstEvents, gaps histogram
 }
 
 // merge adds the counts that a router reports.
 func (t *outcomes) merge(a *wire.RolloutAnswers) {
 	t.responses += a.GetAnswers()
 	t.failed += a.GetFailed()
-	t.first.merge(a.GetFirst())
-	t.intervals.merge(a.GetPace())
+	t.firstEvents.merge(a.GetFirst())
+	t.gaps.merge(a.GetPace())
 }
 
 // Results holds the outcomes that routers have reported for one order: the newest report of each
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -131,9 +131,9 @@
 
 // addRoute adds the results of a route.
 func (c *comparison) addRoute(r *routeResults) {
-	slowFirst, slowInterval := slowThreshold(&r.baseline.first), slowThreshold(&r.baseline.intervals)
+	slowFirstEvent, slowGap := slowThreshold(&r.baseline.firstEvents), slowThreshold(&r.baseline.gaps)
 	bad := func(t *outcomes) int64 {
-		return min(t.failed+max(t.first.above(slowFirst), t.intervals.above(slowInterval)), t.responses)
+		return min(t.failed+max(t.firstEvents.above(slowFirstEvent), t.gaps.above(slowGap)), t.responses)
 	}
 	expected, upper := badShare(bad(&r.baseline), r.baseline.responses)
 	for id, t := range r.target {
--- a/internal/rollout/sampler.go
+++ b/internal/rollout/sampler.go
@@ -77,12 +77,12 @@
 		s.orders = make(map[string]*activeOrder)
 	}
 	for _, x := range r.GetRollouts() {
-		s.follow(x)
+		s.updateOrder(x)
 	}
 }
 
-// follow updates one rollout. The caller holds mu.
-func (s *Sampler) follow(r *wire.Rollout) {
+// updateOrder updates one order to the state of its rollout. The caller holds mu.
+func (s *Sampler) updateOrder(r *wire.Rollout) {
 	if Ended(r) {
 		delete(s.orders, r.GetService())
 		return
@@ -107,8 +107,9 @@
 	return s.revision
 }
 
-// Draw counts a request that is about to be sent to a server, and reports whether it is sampled, that
-// is, should go to a server of the target version. Without an order in progress it never is.
+// SampleRequest counts a request that is about to be sent to a server, and reports whether it is
+// sampled, that is, should go to a server of the target version. Without an order in progress it
+// never is.
 func (s *Sampler) Draw(service, route string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,10 +120,10 @@
 	t.arrivals[route]++
 	now := s.Clock.Now()
 	t.expire(now)
-	drawn := t.phase == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL && !t.skipNext[route] && !slices.Contains(t.withheld, route) && t.spendGrant(route, now)
+	sampled := t.phase == wire.RolloutPhase_ROLLOUT_PHASE_TRIAL && !t.skipNext[route] && !slices.Contains(t.withheld, route) && t.spendGrant(route, now)
 	// A caller whose sampled request failed and who retries here gets another version.
-	t.skipNext[route] = drawn
-	return drawn
+	t.skipNext[route] = sampled
+	return sampled
 }
 
 // spendGrant takes one request out of the grants, if one is available for the route.
@@ -137,8 +138,8 @@
 	return false
 }
 
-// CancelSample gives back the grant that Draw has spent for a request that was not sent to the target
-// version.
+// CancelSample gives back the grant that SampleRequest has spent for a request that was not sent to
+// the target version.
 func (s *Sampler) CancelSample(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,11 +151,11 @@
 // expire removes expired grants and counts their requests as lapsed.
 func (t *activeOrder) expire(now sumachead.BootTime) {
 	t.grants = slices.DeleteFunc(t.grants, func(g grant) bool {
-		over := now >= g.expiresAt
-		if over {
+		expired := now >= g.expiresAt
+		if expired {
 			t.lapsed += g.remaining
 		}
-		return over || g.remaining == 0
+		return expired || g.remaining == 0
 	})
 }
 
@@ -197,7 +198,7 @@
 	Failed bool
 	// Crashed: the server crashed while running the request.
 	Crashed bool
-	// FirstEvent is the time until the response began, and EventInterval the time between its events;
+	// FirstEvent is the time until the response began, and EventGap the mean time between its events;
 	// 0 for none.
 	FirstEvent, EventInterval time.Duration
 }
@@ -239,10 +240,10 @@
 		a.failed++
 		return
 	case x.FirstEvent > 0:
-		a.first.add(x.FirstEvent)
+		a.firstEvents.add(x.FirstEvent)
 	}
 	if x.EventInterval > 0 {
-		a.intervals.add(x.EventInterval)
+		a.gaps.add(x.EventInterval)
 	}
 }
 
@@ -276,7 +277,7 @@
 	clear(t.arrivals)
 	for by, a := range t.outcomes {
 		r.Answers = append(r.Answers, &wire.RolloutAnswers{
-			Route: by.route, Server: by.server, Answers: a.responses, Failed: a.failed, First: a.first.encode(), Pace: a.intervals.encode(),
+			Route: by.route, Server: by.server, Answers: a.responses, Failed: a.failed, First: a.firstEvents.encode(), Pace: a.gaps.encode(),
 		})
 	}
 	for id := range t.crashed {
--- a/internal/rollout/sampler_test.go
+++ b/internal/rollout/sampler_test.go
@@ -23,7 +23,7 @@
 	return s, c
 }
 
-// draw calls Draw for requests of routes and returns which of them are sampled.
+// draw calls SampleRequest for requests of routes and returns which of them are sampled.
 func draw(s *Sampler, routes ...string) []bool {
 	var out []bool
 	for _, r := range routes {
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -209,15 +209,15 @@
 
 // allMoved reports whether no router has requests in flight at the replaced versions.
 func (w *Controller) allMoved(routers []string) bool {
-	left := make(map[string]bool)
+	moved := make(map[string]bool)
 	for id, open := range w.moved {
 		if open > 0 {
 			return false
 		}
-		left[id.node] = true
+		moved[id.node] = true
 	}
 	for _, n := range routers {
-		if !left[n] {
+		if !moved[n] {
 			return false
 		}
 	}
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -110,7 +110,7 @@
 	return d.retryBudgets.tryTake(d.x.workspace)
 }
 
-// fail fails the request.
+// fail returns the refusal for the caller and, if the request did not run, releases its reservation.
 func (d *dispatch) fail(f *sumachead.Refusal) error {
 	f = d.widenForAttempts(f)
 	if d.ctx.Err() != nil && d.x.r.Context().Err() != nil {
--- a/internal/router/reserve.go
+++ b/internal/router/reserve.go
@@ -116,7 +116,7 @@
 // reservation, if there is one, is released once the ledger is reachable.
 func (d *dispatch) refuseUnreachable(a *wire.Attempt, err error) error {
 	d.withdraw(a)
-	d.Log.Debug("The ledger was not reached.", "error", err)
+	d.Log.Debug("Failed to reach the ledger.", "error", err)
 	return d.widenForAttempts(d.x.widenForCallerKey(refuseWithRetry(sumachead.NotRun, sumachead.ReasonLedgerUnreached, "the ledger was not reached")))
 }
 
@@ -147,7 +147,7 @@
 	d.settler.enqueue(settleItem{settle: s, target: d.target})
 }
 
-// reassign makes d.to the entry's next attempt.
+// reassign records an attempt at d.target as the entry's next attempt.
 func (d *dispatch) reassign(notRun bool) error {
 	a := d.newAttempt()
 	ctx, cancel := context.WithTimeout(d.ctx, ledgerTimeout)
--- a/internal/router/waiting_test.go
+++ b/internal/router/waiting_test.go
@@ -76,7 +76,7 @@
 	l.recordLoad(&wire.Load{}) // stops the probing
 }
 
-func TestMayAwait(t *testing.T) {
+func TestMayWaitForServer(t *testing.T) {
 	tests := []struct {
 		verdict sumachead.Verdict
 		reason  sumachead.Reason
