--- a/internal/fleet/alive.go
+++ b/internal/fleet/alive.go
@@ -89,7 +89,7 @@
 // HandleHeartbeat handles a heartbeat or leaving notice of a backend server. A heartbeat of a
 // ready server does not wait for the leader, which receives it in a batch. A [trace.BadParameter]
 // error means that the record is invalid.
-func (k *Keeper) Beat(ctx context.Context, r *wire.ServerRecord) error {
+func (k *Keeper) HandleHeartbeat(ctx context.Context, r *wire.ServerRecord) error {
 	if err := k.servers.Validate(r); err != nil {
 		return err
 	}
--- a/internal/fleet/alive_test.go
+++ b/internal/fleet/alive_test.go
@@ -45,7 +45,7 @@
 	begun := time.Now()
 	for i := range servers {
 		r := &wire.ServerRecord{Id: fmt.Sprint("s", i), Service: "chat", Address: "10.0.0.1:80", Sequence: 1}
-		if err := follower.Beat(context.Background(), r); err != nil {
+		if err := follower.HandleHeartbeat(context.Background(), r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -69,7 +69,7 @@
 	c.eventually("loss of contact with the leader", func() bool { return !follower.hasLeaderContact() })
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if err := follower.Beat(ctx, &wire.ServerRecord{Id: "s", Service: "chat", Address: "10.0.0.1:80", Sequence: 1}); err == nil {
+	if err := follower.HandleHeartbeat(ctx, &wire.ServerRecord{Id: "s", Service: "chat", Address: "10.0.0.1:80", Sequence: 1}); err == nil {
 		t.Fatal("a heartbeat was acknowledged")
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -246,7 +246,7 @@
 		c.eventually("a heartbeat", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			return c.members[i].Beat(ctx, r) == nil
+			return c.members[i].HandleHeartbeat(ctx, r) == nil
 		})
 	}
 	beat(0, record)
--- a/internal/fleet/records_test.go
+++ b/internal/fleet/records_test.go
@@ -22,7 +22,7 @@
 	leader, _ := c.awaitLeader()
 	for i := range 4 {
 		r := &wire.ServerRecord{Id: fmt.Sprint("s", i), Service: "chat", Address: "10.0.0.1:80", Sequence: 1}
-		if err := leader.Beat(context.Background(), r); err != nil {
+		if err := leader.HandleHeartbeat(context.Background(), r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -36,7 +36,7 @@
 		}
 		return true
 	})
-	if err := leader.Beat(context.Background(), &wire.ServerRecord{Id: "s0", State: wire.ServerState_SERVER_STATE_LEAVING}); err != nil {
+	if err := leader.HandleHeartbeat(context.Background(), &wire.ServerRecord{Id: "s0", State: wire.ServerState_SERVER_STATE_LEAVING}); err != nil {
 		t.Fatal(err)
 	}
 	for i := range c.members {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -109,7 +109,7 @@
 }
 
 // Init initializes what Run and Serve need.
-func (g *Gateway) Prepare() {
+func (g *Gateway) Init() {
 	g.startedAt = time.Now()
 	g.servers = &registry.Table{Heartbeat: g.Heartbeat}
 	g.metrics = newMetrics(g)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -171,7 +171,7 @@
 		RetryRatio: 0.2, RetryExtra: 50, RetryWindow: 10 * time.Second,
 		Dialect: testDialect{}, Pool: &rpc.Pool{}, Log: hclog.NewNullLogger(),
 	}
-	g.Prepare()
+	g.Init()
 	g.client.ApplyDeclaration(&wire.Declaration{Number: 1, Catalog: &wire.Catalog{
 		KeysNeeded: true,
 		Services:   []*wire.Service{{Name: "pool", MaxConns: 100, HealthPath: "/health", Engine: &wire.EngineLimits{EventTokens: 3}}},
@@ -366,7 +366,7 @@
 	}
 	t.Run("no declaration yet", func(t *testing.T) {
 		g := &Gateway{Log: hclog.NewNullLogger(), Seeds: func() []string { return nil }, RetryWindow: time.Second}
-		g.Prepare()
+		g.Init()
 		_, _, err := sendRequest(g, "1", nil)
 		if f := refusalOf(t, err); f.Reason != sumachead.ReasonSettingsStale || f.RetryAt.IsZero() {
 			t.Fatalf("got %v", f)
@@ -376,7 +376,7 @@
 		g := newGateway(t, wire.RouteKind_ROUTE_KIND_SINGLE, false, map[string]string{"a": a.listen(t, respondWith(200, "", "ok"))})
 		v := g.client.View()
 		h := &Gateway{Log: hclog.NewNullLogger(), Seeds: func() []string { return nil }, RetryWindow: time.Second, Dialect: g.Dialect}
-		h.Prepare()
+		h.Init()
 		h.servers, h.wallet = g.servers, g.wallet
 		time.AfterFunc(firstDeclarationDelay/4, func() { h.client.ApplyDeclaration(&wire.Declaration{Number: v.Number, Catalog: v.Catalog}) })
 		if _, _, err := sendRequest(h, "1", nil); err != nil {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -32,7 +32,7 @@
 // So does a request that may crash servers.
 func (d *dispatch) placeCanary() *place.Placement {
 	service := d.x.service.GetName()
-	if d.lastFailure != nil || d.stream != nil && d.stream.lastID != "" || !d.sampler.Draw(service, d.x.route.GetName()) {
+	if d.lastFailure != nil || d.stream != nil && d.stream.lastID != "" || !d.sampler.SampleRequest(service, d.x.route.GetName()) {
 		return nil
 	}
 	if !d.suspects.hasAny() || !d.suspects.isSuspect(d.x.fingerprint()) {
@@ -69,7 +69,7 @@
 	case !d.isRepresentative(l) || f != nil && f.Verdict == sumachead.NotRun:
 	case err == nil:
 		s.Counts, s.Failed = true, a.Head.Failed
-		s.FirstEvent, s.EventInterval = d.normalizedFirstByte(l, d.x.firstByteAt), d.meanEventInterval(time.Now())
+		s.FirstEvent, s.EventGap = d.normalizedFirstByte(l, d.x.firstByteAt), d.meanEventInterval(time.Now())
 	case f == nil || d.ctx.Err() != nil:
 		// It took at least this long, which is known to be too long only beyond the objective.
 		s.Counts = d.x.firstByteAt.IsZero() && time.Since(d.sentAt) > d.x.firstEventObjective()
--- a/internal/metricspage/page_test.go
+++ b/internal/metricspage/page_test.go
@@ -77,7 +77,7 @@
 func TestPageMatchesMetrics(t *testing.T) {
 	out := telemetry.NewQueuedWriter(os.Stderr)
 	g := &gateway.Gateway{Log: hclog.NewNullLogger(), Seeds: func() []string { return nil }}
-	g.Prepare()
+	g.Init()
 	g.Metrics().Registry.MustRegister(out.DroppedLinesCounter())
 	k := &fleet.Keeper{
 		Node: "core-1", Address: "127.0.0.1:1", DataDir: t.TempDir(), Founders: []string{"127.0.0.1:1"}, Heartbeat: time.Second,
--- a/internal/rollout/played_test.go
+++ b/internal/rollout/played_test.go
@@ -193,7 +193,7 @@
 	p.reached++
 	s := Outcome{Service: "s", Route: x.name, Version: "v1", Server: "old", Counts: true, FirstEvent: p.randLatency(x)}
 	s.Failed = p.rand.Float64() < x.failureShare
-	if r.Draw("s", x.name) {
+	if r.SampleRequest("s", x.name) {
 		few := CanaryServers(p.targets, func(*wire.ServerRecord) bool { return true })
 		s.Server, s.Version = few[p.rand.IntN(len(few))].GetId(), "v2"
 		p.serveCanary(&s, x)
--- a/internal/rollout/sampler.go
+++ b/internal/rollout/sampler.go
@@ -110,7 +110,7 @@
 // SampleRequest counts a request that is about to be sent to a server, and reports whether it is
 // sampled, that is, should go to a server of the target version. Without an order in progress it
 // never is.
-func (s *Sampler) Draw(service, route string) bool {
+func (s *Sampler) SampleRequest(service, route string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.orders[service]
@@ -200,7 +200,7 @@
 	Crashed bool
 	// FirstEvent is the time until the response began, and EventGap the mean time between its events;
 	// 0 for none.
-	FirstEvent, EventInterval time.Duration
+	FirstEvent, EventGap time.Duration
 }
 
 // Record records the outcome of a request that reached a server.
@@ -242,8 +242,8 @@
 	case x.FirstEvent > 0:
 		a.firstEvents.add(x.FirstEvent)
 	}
-	if x.EventInterval > 0 {
-		a.gaps.add(x.EventInterval)
+	if x.EventGap > 0 {
+		a.gaps.add(x.EventGap)
 	}
 }
 
--- a/internal/rollout/sampler_test.go
+++ b/internal/rollout/sampler_test.go
@@ -27,7 +27,7 @@
 func draw(s *Sampler, routes ...string) []bool {
 	var out []bool
 	for _, r := range routes {
-		out = append(out, s.Draw("s", r))
+		out = append(out, s.SampleRequest("s", r))
 	}
 	return out
 }
@@ -98,7 +98,7 @@
 		Service: "s", Target: "v2", Revision: 2, Order: 1, Phase: wire.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 	}}})
 	s.Update(&wire.Rollouts{Revision: 1, Rollouts: []*wire.Rollout{{Service: "s", Target: "v2", Revision: 1, Order: 1}}})
-	if s.InProgress("s") || s.Draw("s", "a") {
+	if s.InProgress("s") || s.SampleRequest("s", "a") {
 		t.Error("a request is sampled after the order has ended")
 	}
 }
