--- a/internal/keeper/acceptance.go
+++ b/internal/keeper/acceptance.go
@@ -41,8 +41,8 @@
 // keeper leads the settings group, its term and the connected halls.
 func (k *Keeper) leadershipLoop(ctx context.Context) error {
 	const (
-		watchInterval   = 10 * time.Millisecond
-		contactInterval = 10 // rounds
+		watchInterval      = 10 * time.Millisecond
+		roundsPerHallCheck = 10
 	)
 	rounds := 0
 	return loop.Every(ctx, watchInterval, func() {
@@ -51,8 +51,8 @@
 		}
 		if s := k.settingsGroup.node.Status(); s.GetLeader() == string(k.Config.Node) {
 			k.nodes.startTerm(s.GetTerm(), k.isTreeEmpty(ctx), time.Now())
-			if rounds++; rounds%contactInterval == 0 {
-				k.nodes.recordContact(k.connectedHalls(ctx), time.Now())
+			if rounds++; rounds%roundsPerHallCheck == 0 {
+				k.nodes.recordConnectedHalls(k.connectedHalls(ctx), time.Now())
 			}
 		}
 	})
--- a/internal/keeper/controllers.go
+++ b/internal/keeper/controllers.go
@@ -60,7 +60,7 @@
 	})
 }
 
-// expiryLoop bills overdue entries of the ledger their presumed cost and
+// expiryLoop bills overdue entries of the ledger at their presumed cost and
 // deletes finished ones after EntryRetention.
 func (k *Keeper) expiryLoop(ctx context.Context) error {
 	return loop.Every(ctx, expiryInterval, func() {
--- a/internal/keeper/nodes.go
+++ b/internal/keeper/nodes.go
@@ -73,7 +73,7 @@
 	t.changed = make(chan struct{})
 }
 
-// recordLease records that a node is about to be told that it is current.
+// recordLease records that a node is about to get a confirmation that it is current.
 func (t *nodeTable) recordLease(r *wire.SyncRequest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,8 +82,9 @@
 	}
 }
 
-// recordContact records which halls' keepers are connected to this leader.
-func (t *nodeTable) recordContact(halls map[sumachead.HallID]bool, now time.Time) {
+// recordConnectedHalls updates lastUnreachable for the halls whose keepers are not
+// connected to this leader.
+func (t *nodeTable) recordConnectedHalls(halls map[sumachead.HallID]bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for h, ok := range halls {
--- a/internal/keeper/settingsservice.go
+++ b/internal/keeper/settingsservice.go
@@ -20,7 +20,7 @@
 const maxSyncWait = 2 * time.Second
 
 // acceptTimeout bounds how long a change waits until all nodes apply it. It
-// exceeds the currency lease, after which an unreachable node has stopped itself.
+// exceeds the freshness lease, after which an unreachable node has stopped itself.
 const acceptTimeout = settings.FreshnessLease + 3*time.Second
 
 // cutOffReportDelay is how long a keeper has no leader before it reports that it
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -13,7 +13,7 @@
 
 const (
 	// sendQueueSize is the maximum number of messages queued for one peer. More
-	// are dropped; Raft sends them again.
+	// are dropped; Raft retransmits them.
 	sendQueueSize = 4096
 	// sendTimeout bounds one call that sends a batch.
 	sendTimeout = 2 * time.Second
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	_, err := rpc.Call[wire.Empty](ctx, q.client, "Raft.Step", batch)
-	_ = err // Raft sends the messages again
+	_ = err // Raft retransmits the messages
 }
 
 // raftService receives Raft messages from other keepers.
--- a/internal/ledger/rules.go
+++ b/internal/ledger/rules.go
@@ -11,7 +11,7 @@
 // The rules of an entry's lifecycle. The ledger and the journals of the halls
 // share them, and each does its own accounting of tokens.
 
-// CheckClaim decides about a reservation for a key whose entry is e, or nil. It
+// CheckClaim decides on a reservation for a key whose entry is e, nil if none. It
 // returns GRANTED and isNew if a new attempt may be written, and otherwise the
 // code to reply with.
 func CheckClaim(e *wire.Entry, r *wire.ReserveRequest) (code wire.LedgerCode, isNew bool) {
--- a/internal/scenario/check_test.go
+++ b/internal/scenario/check_test.go
@@ -12,7 +12,7 @@
 const settleTimeout = 20 * time.Second
 
 // checkBudget checks the invariants of the ledger and, if settled, waits for the bills to match
-// what the stand-ins ran. The expected spend is bill, or -1 for any.
+// what the simulated servers ran. The expected spend is bill, or -1 for any.
 func (s *system) checkBudget(settled bool, slack, bill int64) error {
 	deadline := time.Now().Add(settleTimeout)
 	for {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// compareBills compares the spent budget with the ledger's entries and with what the stand-ins
-// ran.
+// compareBills compares the spent budget with the ledger's entries and with what the simulated
+// servers ran.
 func (s *system) compareBills(r *wire.LookupReply, slack, bill int64) error {
 	b := r.GetBudgets()[0]
 	if b.GetReserved() != 0 {
@@ -65,12 +65,12 @@
 		return err
 	}
 	if diff := made - b.GetSpent(); diff < -slack || diff > slack {
-		return fmt.Errorf("stand-ins ran %d tokens, but the budget has spent %d", made, b.GetSpent())
+		return fmt.Errorf("simulated servers ran %d tokens, but the budget has spent %d", made, b.GetSpent())
 	}
 	return nil
 }
 
-// executedTokens returns the cost in tokens of all that the stand-ins ran.
+// executedTokens returns the cost in tokens of all that the simulated servers ran.
 func (s *system) executedTokens() (int64, error) {
 	engines, err := s.runsOf("assistant")
 	if err != nil {
--- a/internal/scenario/checks_test.go
+++ b/internal/scenario/checks_test.go
@@ -15,7 +15,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// fault SERVER JSON sets the injected faults of a stand-in.
+// fault SERVER JSON sets the injected faults of a simulated server.
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
 	p, err := scriptOf(ts).sys.resolve(args[0])
 	ts.Check(err)
@@ -48,8 +48,8 @@
 	}
 }
 
-// runs PREFIX KEY N [within=D] checks how many times stand-ins whose names begin with PREFIX have
-// started a request of the workspace with this key, or with any key for "all".
+// runs PREFIX KEY N [within=D] checks how many times simulated servers whose names begin with
+// PREFIX have started a request of the workspace with this key, or with any key for "all".
 func cmdRuns(ts *testscript.TestScript, _ bool, args []string) {
 	timeout := time.Duration(0)
 	args = parseOptions(ts, args, map[string]func(string) error{"within": toDuration(&timeout)})
@@ -72,8 +72,8 @@
 	}
 }
 
-// refusals PREFIX MAX checks that stand-ins whose names begin with PREFIX have answered at least
-// one and at most MAX requests with 503.
+// refusals PREFIX MAX checks that simulated servers whose names begin with PREFIX have answered at
+// least one and at most MAX requests with 503.
 func cmdRefusals(ts *testscript.TestScript, _ bool, args []string) {
 	maxRefusals, err := strconv.Atoi(args[1])
 	ts.Check(err)
@@ -86,7 +86,7 @@
 
 // budget [settled] [slack=N] [spent=N] checks that the ledger has no violation and no budget
 // exceeds its total. With "settled" it waits until nothing is reserved and the bill matches what
-// the stand-ins ran, give or take slack tokens.
+// the simulated servers ran, give or take slack tokens.
 func cmdBudget(ts *testscript.TestScript, _ bool, args []string) {
 	s := scriptOf(ts)
 	slack, bill := int64(0), int64(-1)
--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -18,7 +18,7 @@
 	"sumachead/internal/standin"
 )
 
-// A fleet is a system of real node processes with the platform's settings. The test stands in for
+// A fleet is a system of real node processes with the platform's settings. The test acts as
 // the platform: an operator, registering backend servers and callers.
 
 // fleetShape is the size of a fleet.
@@ -117,7 +117,7 @@
 }
 
 // serverHost is the host of backend servers that share none with a process. No other run has this
-// address, so that no foreign requests arrive there.
+// address, so that no requests of other runs arrive there.
 func (f *fleet) serverHost() string { return fmt.Sprintf("127.%d.1.1", f.base) }
 
 // addHost adds a process with its settings file and the proxy in front of it.
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// addServer starts the stand-in of a backend server on a host.
+// addServer starts a simulated backend server on a host.
 func (f *fleet) addServer(name, service, hall, host string) {
 	r := &standin.Replica{
 		ID: "i-" + name, Service: service, Hall: hall, Address: fmt.Sprintf("%s:%d", host, freePort()), ControlAddresses: f.controlAddresses,
@@ -195,7 +195,7 @@
 	f.runServer(name, r)
 }
 
-// runServer runs a stand-in.
+// runServer runs a simulated backend server.
 func (f *fleet) runServer(name string, r *standin.Replica) {
 	f.mu.Lock()
 	f.replicas[name] = r
--- a/internal/scenario/fleetcmds_test.go
+++ b/internal/scenario/fleetcmds_test.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// server NAME drain|leave|cold|FAULTS-AS-JSON acts on the stand-in of a backend server; "cold"
+// server NAME drain|leave|cold|FAULTS-AS-JSON acts on a simulated backend server; "cold"
 // restarts it cold.
 func cmdServer(ts *testscript.TestScript, _ bool, args []string) {
 	r := fleetOf(ts).replicas[args[0]]
--- a/internal/scenario/fleetsoak_test.go
+++ b/internal/scenario/fleetsoak_test.go
@@ -46,8 +46,8 @@
 	recoveryTimeout = 20 * time.Second
 )
 
-// TestFleetSoak runs for a short time with a fixed seed. SOAK=5m SEED=N sets both; SEED=0 draws a
-// seed. SOAK_LOGS=DIR keeps the logs of a failed run. TIMES=10 multiplies the number of routers
+// TestFleetSoak runs for a short time with a fixed seed. SOAK=5m SEED=N sets both; SEED=0 picks a
+// random seed. SOAK_LOGS=DIR keeps the logs of a failed run. TIMES=10 multiplies the number of routers
 // and relays by ten, to run near the limits of the machine.
 func TestFleetSoak(t *testing.T) {
 	duration, seed := soakDuration, uint64(soakSeed)
@@ -97,7 +97,7 @@
 			}
 		})
 	}
-	peers := rand.New(rand.NewPCG(s.rand.Uint64(), series)) // drawn last, so that the other series stay reproducible
+	peers := rand.New(rand.NewPCG(s.rand.Uint64(), series)) // seeded last, so that the other series stay reproducible
 	all.Go(func() {
 		for time.Now().Before(until) {
 			s.peerFault(peers)
--- a/internal/scenario/relay_test.go
+++ b/internal/scenario/relay_test.go
@@ -217,13 +217,13 @@
 
 // copyBytes copies from one connection to the other until EOF or an error, with the latency of
 // the direction, and holds bytes back while it is blocked.
-func (r *proxy) copyBytes(to, from net.Conn, fromPlaces, toPlaces []string) {
+func (r *proxy) copyBytes(to, from net.Conn, fromLabels, toLabels []string) {
 	defer func() { _ = to.Close() }()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		time.Sleep(r.net.delay(fromPlaces, toPlaces))
-		if !r.net.awaitReachable(fromPlaces, toPlaces, r.done) {
+		time.Sleep(r.net.delay(fromLabels, toLabels))
+		if !r.net.awaitReachable(fromLabels, toLabels, r.done) {
 			return
 		}
 		if n > 0 {
--- a/internal/scenario/system_test.go
+++ b/internal/scenario/system_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// addServer adds the stand-in of a backend server and its agent.
+// addServer adds a simulated backend server and its agent.
 func (s *system) addServer(tree *settings.Objects, name, pool, hall string) error {
 	backend := s.addProcess(name, "standin", hall)
 	kind := "model"
@@ -327,13 +327,13 @@
 	return keeperclient.Call[wire.LookupReply](ctx, s.client, keeperclient.GroupLedger, "Ledger.Lookup", &wire.LookupRequest{Workspace: "clerks"})
 }
 
-// runsOf returns the runs recorded by the stand-ins whose names begin with prefix.
+// runsOf returns the runs recorded by the simulated servers whose names begin with prefix.
 func (s *system) runsOf(prefix string) ([]*standin.Run, error) {
 	all, err := s.recordOf(prefix)
 	return all.Runs, err
 }
 
-// recordOf returns the merged records of the stand-ins whose names begin with prefix.
+// recordOf returns the merged records of the simulated servers whose names begin with prefix.
 func (s *system) recordOf(prefix string) (all standin.Record, err error) {
 	for _, p := range s.processes {
 		if p.role != "standin" || !strings.HasPrefix(p.name, prefix) {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -18,7 +18,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Kind is the kind of backend server that a stand-in simulates.
+// Kind is the kind of a simulated backend server.
 type Kind string
 
 // The kinds.
--- a/internal/tool/load.go
+++ b/internal/tool/load.go
@@ -138,12 +138,12 @@
 // with its state before the load. Refusals count as false if the remaining
 // budget would have covered the request.
 func (l *loadCommand) checkBudget(before *wire.BudgetState, r *load.Report) (*budgetCheck, error) {
-	const settleWait = 5 * time.Second
-	deadline := time.Now().Add(settleWait)
+	const settleTimeout = 5 * time.Second
+	deadline := time.Now().Add(settleTimeout)
 	after, err := l.fetchBudget()
 	for err == nil && after.GetReserved() > 0 && time.Now().Before(deadline) {
-		const pollEvery = 50 * time.Millisecond
-		time.Sleep(pollEvery)
+		const pollInterval = 50 * time.Millisecond
+		time.Sleep(pollInterval)
 		after, err = l.fetchBudget()
 	}
 	if err != nil {
--- a/scripts/days.py
+++ b/scripts/days.py
@@ -143,7 +143,7 @@
 ]  # fmt: skip
 
 # Number of faults in a sampled day, and the latest second at which they begin.
-DRAWN_TROUBLES, DRAWN_UNTIL = 6, 32.0
+SAMPLED_FAULTS, MAX_SAMPLED_START_S = 6, 32.0
 
 
 def entry(kind: str, how: str, at: float) -> str:
@@ -157,16 +157,16 @@
     return f"  {{ at = {at}, {fields} }},"
 
 
-def named(kind: str, how: str) -> str:
+def fault_name(kind: str, how: str) -> str:
     """Returns the name of a fault for the name of a day."""
     return "-".join([kind, *how.split()]).replace("_", "-")
 
 
-def day(name: str, troubles: list[tuple[str, str, float]], closing: str = "") -> str:
+def day(name: str, injections: list[tuple[str, str, float]], closing: str = "") -> str:
     """Returns the TOML text of a day with faults (kind, how, second) and a closing fault."""
     ends = f"closing = {{ {closing} }}\n" if closing else ""
-    plan = "\n".join(entry(k, h, at) for k, h, at in troubles if KINDS[k][1])
-    faults = "\n".join(entry(k, h, at) for k, h, at in troubles if not KINDS[k][1])
+    plan = "\n".join(entry(k, h, at) for k, h, at in injections if KINDS[k][1])
+    faults = "\n".join(entry(k, h, at) for k, h, at in injections if not KINDS[k][1])
     return f"""[[day]]
 name = "{name}"
 slot = "trouble"
@@ -184,20 +184,20 @@
 """
 
 
-def write(folder: str, name: str, troubles: list[tuple[str, str, float]], closing: str = "") -> None:
+def write(directory: str, name: str, injections: list[tuple[str, str, float]], closing: str = "") -> None:
     """Writes one day."""
-    path = pathlib.Path(__file__).parent.parent / "deploy" / "days" / folder
+    path = pathlib.Path(__file__).parent.parent / "deploy" / "days" / directory
     path.mkdir(parents=True, exist_ok=True)
-    (path / f"{name}.toml").write_text(day(name, troubles, closing))
+    (path / f"{name}.toml").write_text(day(name, injections, closing))
 
 
-def draw(seed: int, n: int) -> None:
+def write_sampled(seed: int, n: int) -> None:
     """Writes n days of sampled faults."""
     for i in range(n):
         r = random.Random(f"{seed}/{i}")
-        kinds = [r.choice(CONTROL if j % 2 else list(KINDS)) for j in range(DRAWN_TROUBLES)]
-        troubles = [(k, r.choice(KINDS[k][2]), round(r.uniform(0.5, DRAWN_UNTIL), 1)) for k in kinds]
-        write("drawn", f"drawn-{seed}-{i}", sorted(troubles, key=lambda t: t[2]))
+        kinds = [r.choice(CONTROL if j % 2 else list(KINDS)) for j in range(SAMPLED_FAULTS)]
+        injections = [(k, r.choice(KINDS[k][2]), round(r.uniform(0.5, MAX_SAMPLED_START_S), 1)) for k in kinds]
+        write("drawn", f"drawn-{seed}-{i}", sorted(injections, key=lambda t: t[2]))
 
 
 def main() -> None:
@@ -207,14 +207,14 @@
     options.add_argument("--seed", type=int, default=1, help="seed for the sampling of faults")
     given = options.parse_args()
     if given.drawn:
-        draw(given.seed, given.drawn)
+        write_sampled(given.seed, given.drawn)
         return
     for kind, (_, _, variants) in KINDS.items():
         for how in variants:
-            write("", f"kind-{named(kind, how)}", [(kind, how, at) for at in (6.0, 20.0)])
+            write("", f"kind-{fault_name(kind, how)}", [(kind, how, at) for at in (6.0, 20.0)])
     for first, second in PAIRS:
-        troubles = [(*t, at + later) for at in (0.5, 12.0, 27.0) for t, later in ((first, 0.0), (second, 0.7))]
-        write("", f"pair-{named(*first)}--{named(*second)}", troubles)
+        injections = [(*t, at + later) for at in (0.5, 12.0, 27.0) for t, later in ((first, 0.0), (second, 0.7))]
+        write("", f"pair-{fault_name(*first)}--{fault_name(*second)}", injections)
     for name, closing in CLOSINGS.items():
         write("", f"closing-{name}", [("config_change", "route", 8.0), ("config_change", "topup", 16.0)], closing)
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -95,7 +95,7 @@
 # Readiness covers only the system's own processes, not the simulated backend
 # servers.
 for ((i = 1; i < 2 + engines || i <= 3; i++)); do
-  wait_for 10 "the stand-in on port 730$i" curl -sf "http://127.0.0.1:730$i/admin/runs"
+  wait_for 10 "the simulated server on port 730$i" curl -sf "http://127.0.0.1:730$i/admin/runs"
 done
 
 say "applying the settings tree"
