--- a/internal/ledger/expiry.go
+++ b/internal/ledger/expiry.go
@@ -4,7 +4,7 @@
 	"sumachead/api/wire"
 )
 
-// expire bills entries that nobody settled in time their presumed cost, and evicts
+// expire bills entries that were not settled in time at their presumed cost, and evicts
 // entries that finished before the retention period.
 func (m *Machine) expire(x *wire.Expire) {
 	for range maxExpirePerCommand {
--- a/internal/scenario/halls_test.go
+++ b/internal/scenario/halls_test.go
@@ -9,7 +9,7 @@
 )
 
 // maxVacateDelay is how long after the acknowledgement a vacated data hall may still get new
-// requests. Times without a quorum of keepers don't count, since nobody can tell the routers of
+// requests. Times without a quorum of keepers don't count, since routers can't be notified of
 // an order acknowledged just before.
 const maxVacateDelay = 2 * time.Second
 
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -112,7 +112,7 @@
 	ServerLeaving ServerState = "leaving"
 )
 
-// Server is one backend server and the agent beside it.
+// Server is one backend server and its agent.
 type Server struct {
 	Pool         sumachead.PoolID `json:"pool" doc:"Pool of the backend server."`
 	Hall         sumachead.HallID `json:"hall" doc:"Data hall of the backend server."`
