--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -8,7 +8,7 @@
 //
 // Every keeper accepts calls of operators and backend servers, and forwards to the leader what
 // only the leader can answer. It acknowledges heartbeats of ready servers itself and forwards them
-// in batches (alive.go). It saves the servers that it knows to a file, from which a leader starts
+// in batches (heartbeats.go). It saves the servers that it knows to a file, from which a leader starts
 // after a restart of all keepers (records.go). Nodes call the leading keeper; any other keeper
 // refuses and names the leader.
 package fleet
--- a/internal/place/doc.go
+++ b/internal/place/doc.go
@@ -18,7 +18,7 @@
 //
 // where a request's value is its prompt tokens plus ten times its maximum output tokens, and P
 // rises with the ratio of the predicted time to the objective. Times are predicted by
-// [PrefillModel], which is fitted to observed times to the first event (reading.go), by the load
+// [PrefillModel], which is fitted to observed times to the first event (prefill.go), by the load
 // that this router and all others have at a server (server.go), and by which shared parts each
 // server has cached (parts.go).
 //
