--- a/internal/escrow/reservation.go
+++ b/internal/escrow/reservation.go
@@ -7,8 +7,8 @@
 
 	"sumachead"
 	"sumachead/internal/loop"
-	"sumachead/internal/moment"
-	"sumachead/internal/patience"
+	"sumachead/internal/timeutil"
+	"sumachead/internal/waitpolicy"
 )
 
 // Reservation holds the upper bound of one request's cost until its bill is known.
@@ -24,7 +24,7 @@
 // ledger and waits while the estimated grant would still be useful to the caller, or until ctx
 // ends or the ledger says that the budget is exhausted. The urgency ranks the caller among
 // those told to retry. The error is a [*sumachead.Refusal].
-func (w *Wallet) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Deadlines, urgency uint32) (*Reservation, error) {
+func (w *Wallet) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u waitpolicy.Deadlines, urgency uint32) (*Reservation, error) {
 	begun := time.Now()
 	r, a, changed := w.attempt(id, bound, begun, true)
 	if a == short {
@@ -39,9 +39,9 @@
 			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonBudgetExhausted, "the workspace's budget does not hold the request", time.Time{})
 		}
 		now := time.Now()
-		retryAt, wait := patience.ShouldWait(p, u, now)
+		retryAt, wait := waitpolicy.ShouldWait(p, u, now)
 		if !wait {
-			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonLedgerUnreached, "too little escrow at hand", patience.RetryAt(p, u, urgency, now))
+			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonLedgerUnreached, "too little escrow at hand", waitpolicy.RetryAt(p, u, urgency, now))
 		}
 		if !loop.Pause(ctx, changed, retryAt) {
 			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonDeadlinePassed, "the caller has gone", time.Time{})
@@ -83,9 +83,9 @@
 	since, requestAfter := w.balance(id).shortSince, w.balance(id).requestAfter
 	w.mu.Unlock()
 	if w.EstimateGrant == nil {
-		return patience.ElapsedEstimate{Since: since}
+		return waitpolicy.ElapsedEstimate{Since: since}
 	}
-	return w.EstimateGrant(moment.Later(requestedAt, requestAfter), since)
+	return w.EstimateGrant(timeutil.Later(requestedAt, requestAfter), since)
 }
 
 // admission is the outcome of one attempt to reserve from a balance.
--- a/internal/escrow/waiting_test.go
+++ b/internal/escrow/waiting_test.go
@@ -9,7 +9,7 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/patience"
+	"sumachead/internal/waitpolicy"
 )
 
 // After requests have waited for tokens without success, the next one does not wait but is told
@@ -21,7 +21,7 @@
 	const objective = 200 * time.Millisecond
 	ask := func(bound sumachead.Tokens) (*Reservation, time.Duration, *sumachead.Refusal) {
 		begun := time.Now()
-		r, err := h.Reserve(context.Background(), clerks, bound, patience.Deadlines{Soft: begun.Add(objective)}, 0)
+		r, err := h.Reserve(context.Background(), clerks, bound, waitpolicy.Deadlines{Soft: begun.Add(objective)}, 0)
 		var f *sumachead.Refusal
 		if err != nil && !errors.As(err, &f) {
 			t.Fatal(err)
@@ -59,11 +59,11 @@
 	var estimateFrom time.Time
 	h.EstimateGrant = func(asked, _ time.Time) sumachead.Estimate {
 		estimateFrom = asked
-		return patience.ReportedEstimate{}
+		return waitpolicy.ReportedEstimate{}
 	}
 	ask := func(id sumachead.WorkspaceID) time.Duration {
 		begun := time.Now()
-		if _, err := h.Reserve(context.Background(), id, 1000, patience.Deadlines{Soft: begun.Add(time.Second)}, 0); err == nil {
+		if _, err := h.Reserve(context.Background(), id, 1000, waitpolicy.Deadlines{Soft: begun.Add(time.Second)}, 0); err == nil {
 			t.Fatal("reserved tokens that were not granted")
 		}
 		return estimateFrom.Sub(begun)
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -12,8 +12,8 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/blame"
 	"sumachead/internal/escrow"
+	"sumachead/internal/quarantine"
 	"sumachead/internal/raft"
 	"sumachead/internal/registry"
 	"sumachead/internal/rollout"
@@ -67,7 +67,7 @@
 	servers      *registry.Table
 	allocator    *escrow.Allocator
 	followers    *followers
-	crashTracker blame.Tracker
+	crashTracker quarantine.Tracker
 	metrics      *metrics
 	// limitedLog limits the rate of log lines on grants and server records.
 	limitedLog *telemetry.LogLimiter
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -10,9 +10,9 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/blame"
 	"sumachead/internal/keeperclient"
 	"sumachead/internal/loop"
+	"sumachead/internal/quarantine"
 	"sumachead/internal/raft"
 	"sumachead/internal/registry"
 )
@@ -54,7 +54,7 @@
 
 // Declare commits a declaration.
 func (s *service) Declare(p *wire.PackedDeclaration, reply *wire.DeclareReply) error {
-	p.FingerprintKey = blame.NewKey()
+	p.FingerprintKey = quarantine.NewKey()
 	result, err := s.keeper.propose(&wire.FleetCommand{Command: &wire.FleetCommand_Declare{Declare: p}})
 	if err != nil {
 		return err
--- a/internal/fleet/statemachine.go
+++ b/internal/fleet/statemachine.go
@@ -9,10 +9,10 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/blame"
 	"sumachead/internal/boottime"
 	"sumachead/internal/catalog"
 	"sumachead/internal/escrow"
+	"sumachead/internal/quarantine"
 	"sumachead/internal/rollout"
 )
 
@@ -37,7 +37,7 @@
 	leaving    []string
 	leavingSet map[string]bool
 	halls      hallStates
-	suspects   blame.List
+	suspects   quarantine.List
 	rollouts   rollout.Store
 	// changed is closed when a declaration comes into force, a hall order is accepted, a rollout
 	// changes or the standing of a suspect changes.
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -19,11 +19,11 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/blame"
 	"sumachead/internal/catalog"
 	"sumachead/internal/fleet"
 	"sumachead/internal/keeperclient"
 	"sumachead/internal/loop"
+	"sumachead/internal/quarantine"
 	"sumachead/internal/registry"
 	"sumachead/internal/rollout"
 	"sumachead/internal/rpc"
@@ -78,7 +78,7 @@
 	Servers *registry.Table
 	// Suspects is updated with the standings of requests that crash servers; nil for a node that
 	// sends no requests.
-	Suspects *blame.Table
+	Suspects *quarantine.Table
 	// Rollouts is updated with the rollouts that the leader sends; nil for a node that sends no
 	// requests.
 	Rollouts *rollout.Sampler
--- a/internal/fleetclient/escrow_test.go
+++ b/internal/fleetclient/escrow_test.go
@@ -13,7 +13,7 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/escrow"
-	"sumachead/internal/patience"
+	"sumachead/internal/waitpolicy"
 )
 
 // fakeLedger grants what is needed, except for workspaces whose tokens other holders have.
@@ -79,7 +79,7 @@
 // took; the result is negative if the reservation was refused.
 func reserve(w *escrow.Wallet, id sumachead.WorkspaceID, u time.Duration) time.Duration {
 	begun := time.Now()
-	use := patience.Deadlines{Soft: begun.Add(u), Hard: begun.Add(2 * u)}
+	use := waitpolicy.Deadlines{Soft: begun.Add(u), Hard: begun.Add(2 * u)}
 	if _, err := w.Reserve(context.Background(), id, 1000, use, 0); err != nil {
 		return -time.Since(begun)
 	}
--- a/internal/fleetclient/ledgerlatency.go
+++ b/internal/fleetclient/ledgerlatency.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"sumachead"
-	"sumachead/internal/patience"
+	"sumachead/internal/waitpolicy"
 )
 
 const (
@@ -113,7 +113,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if out := t.unreachableSince(now); !out.IsZero() {
-		return patience.ElapsedEstimate{Since: out}.Expect(now)
+		return waitpolicy.ElapsedEstimate{Since: out}.Expect(now)
 	}
-	return patience.TypicalEstimate{Since: p.shortSince, By: p.requestedAt.Add(minReportInterval + t.expected())}.Expect(now)
+	return waitpolicy.TypicalEstimate{Since: p.shortSince, By: p.requestedAt.Add(minReportInterval + t.expected())}.Expect(now)
 }
--- a/internal/gateway/candidates.go
+++ b/internal/gateway/candidates.go
@@ -11,9 +11,9 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/loop"
-	"sumachead/internal/patience"
 	"sumachead/internal/registry"
 	"sumachead/internal/upstream"
+	"sumachead/internal/waitpolicy"
 )
 
 // After a power failure of the whole fleet, previously known servers may be gone, or other
@@ -108,15 +108,15 @@
 		if due := d.checks.takeDue(all, d.checkDelay, now); len(due) > 0 {
 			go d.check(due, d.x.service.GetHealthPath())
 		}
-		p := patience.TypicalEstimate{Since: since, By: since.Add(d.Heartbeat)}
-		retryAt, wait := patience.ShouldWait(p, d.x.deadlines(), now)
+		p := waitpolicy.TypicalEstimate{Since: since, By: since.Add(d.Heartbeat)}
+		retryAt, wait := waitpolicy.ShouldWait(p, d.x.deadlines(), now)
 		switch {
 		case len(all) == 0 && d.servers.AllVacated(d.x.service.GetName(), d.halls, now):
 			return nil, refusePermanently(sumachead.ReasonNoServer, "all data halls with servers that the request may be sent to are vacated")
 		case !wait && len(all) > 0:
 			return all, nil
 		case !wait:
-			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonNoServer, "no backend server is known to run", patience.RetryAt(p, d.x.deadlines(), d.x.urgency(), now))
+			return nil, sumachead.Refuse(sumachead.NotRun, sumachead.ReasonNoServer, "no backend server is known to run", waitpolicy.RetryAt(p, d.x.deadlines(), d.x.urgency(), now))
 		}
 		if nextCheck := now.Add(checkInterval); nextCheck.Before(retryAt) {
 			retryAt = nextCheck
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -9,10 +9,10 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/loop"
-	"sumachead/internal/moment"
-	"sumachead/internal/patience"
 	"sumachead/internal/place"
 	"sumachead/internal/registry"
+	"sumachead/internal/timeutil"
+	"sumachead/internal/waitpolicy"
 	"sumachead/internal/warmup"
 )
 
@@ -172,14 +172,14 @@
 // the list of servers that had none.
 func (d *dispatch) awaitGrant(denied *deniedServers) error {
 	now := time.Now()
-	p := patience.TypicalEstimate{Since: denied.since, By: denied.nextGrant}
-	retryAt, wait := patience.ShouldWait(p, d.x.deadlines(), now)
+	p := waitpolicy.TypicalEstimate{Since: denied.since, By: denied.nextGrant}
+	retryAt, wait := waitpolicy.ShouldWait(p, d.x.deadlines(), now)
 	if !wait {
 		const detail = "the servers that are left are cold and get no more at present"
 		if d.mayHaveRun {
 			return d.giveUp(d.lastFailure.Reason, detail)
 		}
-		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonCold, detail, patience.RetryAt(p, d.x.deadlines(), d.x.urgency(), now))
+		return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonCold, detail, waitpolicy.RetryAt(p, d.x.deadlines(), d.x.urgency(), now))
 	}
 	if !loop.Sleep(d.ctx, retryAt.Sub(now)) {
 		return d.contextError()
@@ -194,14 +194,14 @@
 // together.
 func (d *dispatch) awaitBackoff(servers []*wire.ServerRecord, denied *deniedServers, backoffEnd time.Time) error {
 	now := time.Now()
-	if _, wait := patience.ShouldWait(patience.ReportedEstimate{At: backoffEnd}, d.x.deadlines(), now); !wait {
+	if _, wait := waitpolicy.ShouldWait(waitpolicy.ReportedEstimate{At: backoffEnd}, d.x.deadlines(), now); !wait {
 		if d.anyWithoutPermit(servers) {
 			return d.giveUp(sumachead.ReasonLimited, "all servers that are left limit requests and get no more at present")
 		}
 		return d.giveUp(sumachead.ReasonResting, "all servers that are left have asked for rest")
 	}
 	denied.servers = nil
-	retryAt := moment.Later(patience.JitteredRetryAt(backoffEnd, d.x.deadlines(), d.x.urgency(), now), backoffEnd)
+	retryAt := timeutil.Later(waitpolicy.JitteredRetryAt(backoffEnd, d.x.deadlines(), d.x.urgency(), now), backoffEnd)
 	if !loop.Sleep(d.ctx, retryAt.Sub(now)) {
 		return d.contextError()
 	}
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -8,7 +8,7 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/gauge"
+	"sumachead/internal/loadtracker"
 	"sumachead/internal/rpc"
 )
 
@@ -51,7 +51,7 @@
 func startTracker(t *testing.T, since time.Time) string {
 	t.Helper()
 	s := &rpc.Server{Address: unusedAddress(t)}
-	if err := errors.Join(s.Register(gauge.Name, &gauge.Service{Since: since}), s.Listen()); err != nil {
+	if err := errors.Join(s.Register(loadtracker.Name, &loadtracker.Service{Since: since}), s.Listen()); err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = s.Run() }() // ends with Close
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -9,9 +9,9 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/catalog"
-	"sumachead/internal/patience"
 	"sumachead/internal/place"
 	"sumachead/internal/upstream"
+	"sumachead/internal/waitpolicy"
 )
 
 // connSharePercent is the share of a server's connections that all routers together use; the rest
@@ -152,7 +152,7 @@
 	case at.IsZero():
 		at = now.Add(d.Heartbeat) // a running server has sent a heartbeat by then
 	}
-	return sumachead.Refuse(sumachead.NotRun, reason, detail, patience.JitteredRetryAt(at, d.x.deadlines(), d.x.urgency(), now))
+	return sumachead.Refuse(sumachead.NotRun, reason, detail, waitpolicy.JitteredRetryAt(at, d.x.deadlines(), d.x.urgency(), now))
 }
 
 // contextError returns the final error of a request whose deadline has passed or whose caller has
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -9,9 +9,9 @@
 	"sumachead/api/wire"
 	"sumachead/internal/catalog"
 	"sumachead/internal/chain"
-	"sumachead/internal/moment"
-	"sumachead/internal/patience"
 	"sumachead/internal/place"
+	"sumachead/internal/timeutil"
+	"sumachead/internal/waitpolicy"
 )
 
 // maxReadDelay is how long after its deadline a ready response waits for the caller to read it:
@@ -85,7 +85,7 @@
 // start sends the head of the response.
 func (x *exchange) start(status int, header http.Header, size int) {
 	x.started, x.firstByteAt = true, time.Now()
-	x.response.Start(status, header, size, moment.Later(x.deadline, x.firstByteAt).Add(maxReadDelay))
+	x.response.Start(status, header, size, timeutil.Later(x.deadline, x.firstByteAt).Add(maxReadDelay))
 }
 
 type handler = chain.Handler[*exchange]
@@ -113,8 +113,8 @@
 }
 
 // deadlines returns until when a response is useful to the caller.
-func (x *exchange) deadlines() patience.Deadlines {
-	u := patience.Deadlines{Hard: x.request.Deadline}
+func (x *exchange) deadlines() waitpolicy.Deadlines {
+	u := waitpolicy.Deadlines{Hard: x.request.Deadline}
 	if !x.deadline.IsZero() {
 		u.Hard = x.deadline
 	}
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -5,7 +5,7 @@
 
 	"sumachead"
 	"sumachead/internal/loop"
-	"sumachead/internal/patience"
+	"sumachead/internal/waitpolicy"
 )
 
 // firstDeclarationDelay is how long after the start of the process the first declaration is
@@ -30,13 +30,13 @@
 
 // awaitDeclaration waits for the first declaration while that is useful.
 func (g *Gateway) awaitDeclaration(x *exchange) error {
-	p := patience.TypicalEstimate{Since: g.startedAt, By: g.startedAt.Add(firstDeclarationDelay)}
+	p := waitpolicy.TypicalEstimate{Since: g.startedAt, By: g.startedAt.Add(firstDeclarationDelay)}
 	u := x.deadlines()
 	for {
 		now := time.Now()
-		retryAt, wait := patience.ShouldWait(p, u, now)
+		retryAt, wait := waitpolicy.ShouldWait(p, u, now)
 		if !wait {
-			return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonSettingsStale, "no declaration is known yet", patience.RetryAt(p, u, 0, now))
+			return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonSettingsStale, "no declaration is known yet", waitpolicy.RetryAt(p, u, 0, now))
 		}
 		if !loop.Pause(x.ctx, g.client.Declared(), retryAt) {
 			return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonDeadlinePassed, "the caller has gone", time.Time{})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,7 +14,6 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/backoff"
-	"sumachead/internal/blame"
 	"sumachead/internal/boottime"
 	"sumachead/internal/chain"
 	"sumachead/internal/escrow"
@@ -25,6 +24,7 @@
 	"sumachead/internal/linkload"
 	"sumachead/internal/loop"
 	"sumachead/internal/place"
+	"sumachead/internal/quarantine"
 	"sumachead/internal/registry"
 	"sumachead/internal/rollout"
 	"sumachead/internal/rpc"
@@ -118,7 +118,7 @@
 	g.sampler = &rollout.Sampler{Clock: boottime.Clock{}, Node: g.Node, Boot: sumachead.BootID(rand.Text())}
 	g.client = &fleetclient.Client{
 		Node: g.Node, Role: fleet.RoleRouter, Hall: g.Hall, Seeds: g.Seeds, Pool: g.Pool,
-		Servers: g.servers, Log: g.Log.Named("follow"), LendingAddress: g.lendingAddress, Suspects: &blame.Table{},
+		Servers: g.servers, Log: g.Log.Named("follow"), LendingAddress: g.lendingAddress, Suspects: &quarantine.Table{},
 		Rollouts: g.sampler,
 	}
 	g.link.BytesPerSecond, g.link.Changed = g.LinkBytes, g.recordOverload
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -9,17 +9,17 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/blame"
 	"sumachead/internal/loop"
-	"sumachead/internal/patience"
 	"sumachead/internal/place"
+	"sumachead/internal/quarantine"
 	"sumachead/internal/upstream"
+	"sumachead/internal/waitpolicy"
 )
 
 // A request may crash each server that begins to run it, together with all requests in flight
 // there, and its caller retries it under a new ID at any router. So the crashes that routers see
 // are collected at the leading keeper by the fingerprint of the request and not by its ID
-// ([blame.Tracker]), and the standing of each request takes effect at all routers. Without this, one
+// ([quarantine.Tracker]), and the standing of each request takes effect at all routers. Without this, one
 // request crashed 36 to 41 servers in 5 s, and 6 in 100 of the others were served; with it, 3
 // servers, and 99 in 100 (TestRequestThatCrashesServers, three fleets of six engines).
 
@@ -51,7 +51,7 @@
 type suspects struct {
 	Node sumachead.NodeID
 	// Table holds the standings received from the leading keeper.
-	Table *blame.Table
+	Table *quarantine.Table
 	// ReportCrashes sends a report to the leading keeper, and RequestTrial requests a trial from it.
 	ReportCrashes func(ctx context.Context, r *wire.EndsReport) (*wire.Suspects, error)
 	RequestTrial  func(ctx context.Context, r *wire.TrialRequest) (*wire.TrialReply, error)
@@ -60,13 +60,13 @@
 
 	// tracker counts the crashes that this router has seen: it decides which successes to report,
 	// and which requests to refuse while no keeper is reachable.
-	tracker blame.Tracker
+	tracker quarantine.Tracker
 	// served are the requests that have recently succeeded here.
-	served blame.RecentSuccesses
+	served quarantine.RecentSuccesses
 
 	mu sync.Mutex // guards the fields below
 	// local are the standings according to tracker.
-	local blame.List
+	local quarantine.List
 	// pending is the report that is being collected; nil for none.
 	pending *crashBatch
 }
@@ -293,7 +293,7 @@
 	}
 	now := time.Now()
 	return sumachead.Refuse(sumachead.NotRun, sumachead.ReasonSuspected, "servers have ended under this request, and it runs elsewhere or no keeper is reached",
-		patience.JitteredRetryAt(now.Add(trialRetryDelay), d.x.deadlines(), d.x.urgency(), now))
+		waitpolicy.JitteredRetryAt(now.Add(trialRetryDelay), d.x.deadlines(), d.x.urgency(), now))
 }
 
 // reportTrialResult reports to the keepers that a suspect has succeeded or that its trial is
@@ -324,7 +324,7 @@
 
 func (x *exchange) fingerprint() sumachead.Fingerprint {
 	if !x.hasFingerprint {
-		x.cachedFingerprint, x.hasFingerprint = blame.Fingerprint(x.view.FingerprintKey, x.workspace(), x.request), true
+		x.cachedFingerprint, x.hasFingerprint = quarantine.Fingerprint(x.view.FingerprintKey, x.workspace(), x.request), true
 	}
 	return x.cachedFingerprint
 }
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -10,15 +10,15 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/blame"
+	"sumachead/internal/quarantine"
 )
 
 // fakeKeeper is the keeper's side of tracking requests that crash servers. Tests connect gateways
 // to it.
 type fakeKeeper struct {
-	tracker blame.Tracker
+	tracker quarantine.Tracker
 	mu      sync.Mutex // guards list
-	list    blame.List
+	list    quarantine.List
 }
 
 // connect makes a gateway report to the fake keeper.
@@ -104,7 +104,7 @@
 	g := newGateway(t, wire.RouteKind_ROUTE_KIND_SINGLE, false, map[string]string{"a": a.listen(t, respondWith(200, "", "ok"))})
 	c := &fakeKeeper{}
 	c.connect(g)
-	f := blame.Fingerprint(nil, "clerks", &sumachead.CallerRequest{Method: "POST", Host: "h", Path: "/r/x"})
+	f := quarantine.Fingerprint(nil, "clerks", &sumachead.CallerRequest{Method: "POST", Host: "h", Path: "/r/x"})
 	c.list.Apply(&wire.Suspects{Suspects: []*wire.Suspect{{Fingerprint: f[:], Standing: wire.Standing_STANDING_SUSPECTED}}})
 	g.client.ApplySuspects(c.list.Since(0))
 	var all sync.WaitGroup
--- a/internal/gateway/trackers.go
+++ b/internal/gateway/trackers.go
@@ -12,7 +12,7 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/boottime"
-	"sumachead/internal/gauge"
+	"sumachead/internal/loadtracker"
 	"sumachead/internal/outbox"
 	"sumachead/internal/place"
 	"sumachead/internal/ratelimit"
@@ -227,7 +227,7 @@
 
 // callTracker calls the load tracker at an address; one that fails is not called for a while.
 func callTracker[R any](ctx context.Context, g *trackerClient, address, method string, args proto.Message) (*R, error) {
-	reply, err := rpc.Call[R](ctx, g.Pool.Get(address), gauge.Name+"."+method, args)
+	reply, err := rpc.Call[R](ctx, g.Pool.Get(address), loadtracker.Name+"."+method, args)
 	if err != nil {
 		g.backOff(address, time.Now())
 	}
--- a/internal/gateway/trackers_test.go
+++ b/internal/gateway/trackers_test.go
@@ -11,7 +11,7 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/gauge"
+	"sumachead/internal/loadtracker"
 	"sumachead/internal/loop"
 	"sumachead/internal/rpc"
 )
@@ -78,7 +78,7 @@
 		}
 		s.Address = lis.Addr().String()
 		_ = lis.Close() // only its port is needed
-		if err := errors.Join(s.Register(gauge.Name, &fixedTracker{prefillMillis: prefillMillis, noted: &noted}), s.Listen()); err != nil {
+		if err := errors.Join(s.Register(loadtracker.Name, &fixedTracker{prefillMillis: prefillMillis, noted: &noted}), s.Listen()); err != nil {
 			t.Fatal(err)
 		}
 		go func() { _ = s.Run() }() // ends with Close
--- a/internal/lending/borrower.go
+++ b/internal/lending/borrower.go
@@ -14,8 +14,8 @@
 	"sumachead/api/wire"
 	"sumachead/internal/escrow"
 	"sumachead/internal/outbox"
-	"sumachead/internal/patience"
 	"sumachead/internal/rpc"
+	"sumachead/internal/waitpolicy"
 )
 
 const (
@@ -64,7 +64,7 @@
 // Reserve reserves bound of a workspace's tokens at the workspace's lender, or in this router's
 // own wallet if its own demand is high (demand.go) or no lender can know more. The error is a
 // [*sumachead.Refusal].
-func (b *Borrower) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u patience.Deadlines, urgency uint32) (sumachead.Reservation, error) {
+func (b *Borrower) Reserve(ctx context.Context, id sumachead.WorkspaceID, bound sumachead.Tokens, u waitpolicy.Deadlines, urgency uint32) (sumachead.Reservation, error) {
 	if b.demand.record(id, time.Now()) {
 		if m := b.Wallet.TryReserve(id, bound); m != nil {
 			return m, nil
@@ -115,7 +115,7 @@
 
 // borrow asks one lender for a loan, first for what it has available and, if that is too
 // little, waiting for more.
-func (b *Borrower) borrow(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Deadlines) (sumachead.Reservation, error) {
+func (b *Borrower) borrow(ctx context.Context, lender string, r *wire.LoanRequest, u waitpolicy.Deadlines) (sumachead.Reservation, error) {
 	reply, err := b.callLender(ctx, lender, r, u, time.Now().Add(firstReplyTimeout))
 	if err == nil && reply.GetShort() {
 		r.Wait = true
@@ -138,7 +138,7 @@
 
 // callLender sends one request for a loan to a lender, under a number of its own. If no reply
 // comes, it queues a bill of 0, since the loan may have been made.
-func (b *Borrower) callLender(ctx context.Context, lender string, r *wire.LoanRequest, u patience.Deadlines, deadline time.Time) (*wire.LoanReply, error) {
+func (b *Borrower) callLender(ctx context.Context, lender string, r *wire.LoanRequest, u waitpolicy.Deadlines, deadline time.Time) (*wire.LoanReply, error) {
 	now := time.Now()
 	r.Number = b.lastNumber.Add(1)
 	r.DeadlineMicros = max(u.Hard.Sub(now).Microseconds(), 1)
--- a/internal/lending/lender.go
+++ b/internal/lending/lender.go
@@ -12,7 +12,7 @@
 	"sumachead/api/wire"
 	"sumachead/internal/escrow"
 	"sumachead/internal/loop"
-	"sumachead/internal/patience"
+	"sumachead/internal/waitpolicy"
 )
 
 // Name is the RPC service name of a [Lender].
@@ -106,7 +106,7 @@
 	if !r.GetWait() {
 		return nil, nil
 	}
-	u := patience.Deadlines{Hard: deadline}
+	u := waitpolicy.Deadlines{Hard: deadline}
 	if in := r.GetInTimeMicros(); in > 0 {
 		u.Soft = now.Add(time.Duration(in) * time.Microsecond)
 	}
--- a/internal/lending/lending_test.go
+++ b/internal/lending/lending_test.go
@@ -16,8 +16,8 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/escrow"
-	"sumachead/internal/patience"
 	"sumachead/internal/rpc"
+	"sumachead/internal/waitpolicy"
 )
 
 const clerks sumachead.WorkspaceID = "clerks"
@@ -82,9 +82,9 @@
 }
 
 // testDeadlines returns the deadlines of the tests' requests.
-func testDeadlines() patience.Deadlines {
+func testDeadlines() waitpolicy.Deadlines {
 	now := time.Now()
-	return patience.Deadlines{Soft: now.Add(200 * time.Millisecond), Hard: now.Add(2 * time.Second)}
+	return waitpolicy.Deadlines{Soft: now.Add(200 * time.Millisecond), Hard: now.Add(2 * time.Second)}
 }
 
 func TestTokensAreLentAndSettled(t *testing.T) {
@@ -253,7 +253,7 @@
 	rs := newHall(t, 100, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Millisecond)
 	defer cancel()
-	u := patience.Deadlines{Hard: time.Now().Add(time.Minute)}
+	u := waitpolicy.Deadlines{Hard: time.Now().Add(time.Minute)}
 	if _, err := rs[1].Borrower.Reserve(ctx, clerks, 600, u, 0); err == nil {
 		t.Fatal("lent more than available")
 	}
--- a/internal/lending/model_test.go
+++ b/internal/lending/model_test.go
@@ -12,7 +12,7 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/escrow"
-	"sumachead/internal/patience"
+	"sumachead/internal/waitpolicy"
 )
 
 // modelNode is one router in the model. It has a wallet, lends from it, and is killed and
@@ -98,7 +98,7 @@
 		// A request that gave up before makes the next report ask the ledger for its tokens.
 		gone, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, _ = n.wallet.Reserve(gone, clerks, bound, patience.Deadlines{Hard: time.Now().Add(time.Second)}, 0)
+		_, _ = n.wallet.Reserve(gone, clerks, bound, waitpolicy.Deadlines{Hard: time.Now().Add(time.Second)}, 0)
 		m.report(n, rapid.IntRange(0, 4).Draw(t, "reply lost") == 0)
 	}
 	if err := n.lender.Reserve(r, reply); err != nil {
--- a/internal/gauge/gauge.go
+++ b/internal/loadtracker/gauge.go
@@ -1,4 +1,4 @@
-// Package gauge runs beside a model engine and tells routers that are about to choose one what
+// Package loadtracker runs beside a model engine and tells routers that are about to choose one what
 // all of them have in flight there ([place.LoadTracker]).
 //
 // Routers notify it when they send a request, when its response begins, and when it ends. A
@@ -6,7 +6,7 @@
 // permits for requests to servers that are cold or limit requests ([ratelimit.Permits]): to its
 // engine, and to servers of plain services that routers assign to it. It stores nothing on disk
 // and forwards nothing.
-package gauge
+package loadtracker
 
 import (
 	"sync"
--- a/internal/gauge/gauge_test.go
+++ b/internal/loadtracker/gauge_test.go
@@ -1,4 +1,4 @@
-package gauge
+package loadtracker
 
 import (
 	"fmt"
--- a/internal/place/loadtracker.go
+++ b/internal/place/loadtracker.go
@@ -7,7 +7,7 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/moment"
+	"sumachead/internal/timeutil"
 )
 
 // maxIncarnations is how many incarnations of servers a load tracker keeps: the engine beside
@@ -149,7 +149,7 @@
 	if s.backoffs == nil {
 		s.backoffs = make(map[string]time.Time)
 	}
-	s.backoffs[router] = moment.Later(s.backoffs[router], now.Add(backoff))
+	s.backoffs[router] = timeutil.Later(s.backoffs[router], now.Add(backoff))
 }
 
 // sharedBackoff returns for how much longer all routers should avoid the engine: as long as at
@@ -206,7 +206,7 @@
 	}
 	s.requests[requestKey{router, r.GetNumber()}] = l
 	s.inFlight = append(s.inFlight, l)
-	s.prefillDoneAt = moment.Later(s.prefillDoneAt, now).Add(l.prefill)
+	s.prefillDoneAt = timeutil.Later(s.prefillDoneAt, now).Add(l.prefill)
 	s.stalls.add(float64(r.GetLongThousandths())/wireScale, now, stallDecayTime)
 	for _, k := range r.GetParts() {
 		l.addPart(partKey(k), now)
--- a/internal/place/scheduler.go
+++ b/internal/place/scheduler.go
@@ -8,7 +8,7 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/moment"
+	"sumachead/internal/timeutil"
 )
 
 const (
@@ -193,7 +193,7 @@
 	var earliest time.Time
 	for _, r := range records {
 		id := sumachead.ServerID(r.GetId())
-		at := moment.Later(c.server(id).ejectedUntil, now.Add(c.backoff(id)))
+		at := timeutil.Later(c.server(id).ejectedUntil, now.Add(c.backoff(id)))
 		if earliest.IsZero() || at.Before(earliest) {
 			earliest = at
 		}
@@ -272,7 +272,7 @@
 		l.LoadAge = now.Sub(s.remote.at)
 	}
 	s.inFlight = append(s.inFlight, l)
-	s.prefillDoneAt = moment.Later(s.prefillDoneAt, now).Add(l.prefill)
+	s.prefillDoneAt = timeutil.Later(s.prefillDoneAt, now).Add(l.prefill)
 	l.prefillDoneAt = s.prefillDoneAt
 	l.stallRisk = gapMissProbability(l.backlog+l.prefill, l.request.MaxEventGap) - gapMissProbability(l.backlog, l.request.MaxEventGap)
 	s.stalls.add(l.stallRisk, now, stallDecayTime)
--- a/internal/place/simulation_test.go
+++ b/internal/place/simulation_test.go
@@ -9,7 +9,7 @@
 
 	"sumachead"
 	"sumachead/api/wire"
-	"sumachead/internal/moment"
+	"sumachead/internal/timeutil"
 )
 
 // simulatedFleet is many routers and engines without a network: each engine prefills prompts one
@@ -100,7 +100,7 @@
 		e.cached[shared.ID] = true
 	}
 	const base, rate = 25 * time.Millisecond, 50 // tokens per millisecond
-	e.freeAt = moment.Later(e.freeAt, f.now).Add(base + time.Duration(uncached)*time.Millisecond/rate)
+	e.freeAt = timeutil.Later(e.freeAt, f.now).Add(base + time.Duration(uncached)*time.Millisecond/rate)
 	return e.freeAt
 }
 
--- a/internal/blame/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,8 +1,8 @@
-// Package blame detects requests that crash the backend servers that run them.
+// Package quarantine detects requests that crash the backend servers that run them.
 //
 // A caller that retries such a request may use another request ID. So requests are identified by
 // their workspace and content: their [Fingerprint].
-package blame
+package quarantine
 
 import (
 	"crypto/hmac"
--- a/internal/blame/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -1,4 +1,4 @@
-package blame
+package quarantine
 
 import (
 	"net/http"
--- a/internal/registry/cold.go
+++ b/internal/registry/cold.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"sumachead/api/wire"
-	"sumachead/internal/moment"
+	"sumachead/internal/timeutil"
 )
 
 // A server that has just started is cold for a while, and may become cold again at any moment;
@@ -45,7 +45,7 @@
 		return false
 	}
 	changed = e.coldChanged(r, now)
-	e.coldUntil = moment.Later(e.coldUntil, coldEnd(r, now))
+	e.coldUntil = timeutil.Later(e.coldUntil, coldEnd(r, now))
 	return changed
 }
 
@@ -75,5 +75,5 @@
 	if opened.IsZero() {
 		return e.coldUntil
 	}
-	return moment.Later(e.coldUntil, opened.Add(coldTime))
+	return timeutil.Later(e.coldUntil, opened.Add(coldTime))
 }
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"sumachead/api/wire"
-	"sumachead/internal/moment"
+	"sumachead/internal/timeutil"
 )
 
 // This file holds the operations of a node whose table follows a leader's.
@@ -37,7 +37,7 @@
 	}
 	next := &entry{lastSeen: now, coldUntil: coldEnd(s, now), superseded: s.GetOver()}
 	if e != nil {
-		next.coldUntil = moment.Later(e.coldUntil, next.coldUntil)
+		next.coldUntil = timeutil.Later(e.coldUntil, next.coldUntil)
 	}
 	if s.GetColdMillis() > 0 {
 		s = proto.CloneOf(s)
@@ -93,7 +93,7 @@
 	t.lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil {
-		e.coldUntil = moment.Later(e.coldUntil, coldUntil)
+		e.coldUntil = timeutil.Later(e.coldUntil, coldUntil)
 		t.recordHeartbeat(e, e.record.GetSequence(), now)
 		t.notify()
 	}
--- a/internal/router/reserve.go
+++ b/internal/router/reserve.go
@@ -9,7 +9,7 @@
 	"sumachead"
 	"sumachead/api/wire"
 	"sumachead/internal/keeperclient"
-	"sumachead/internal/patience"
+	"sumachead/internal/waitpolicy"
 )
 
 const (
@@ -72,14 +72,14 @@
 // reserveWhenFree reserves tokens. It retries while the budget is short only because of the
 // upper bounds of requests in flight, and these are expected to end in time.
 func (d *dispatch) reserveWhenFree(ctx context.Context, r *wire.ReserveRequest) (*wire.LedgerReply, error) {
-	p := patience.ElapsedEstimate{Since: time.Now()}
+	p := waitpolicy.ElapsedEstimate{Since: time.Now()}
 	end, _ := ctx.Deadline() // the caller's deadline or the end of the timeout
 	for {
 		reply, err := d.ledger.Reserve(ctx, r) // a long poll: returns once tokens may be free
 		if err != nil || !reply.GetRoomSoon() {
 			return reply, err
 		}
-		if _, wait := patience.ShouldWait(p, singleDeadline(end), time.Now()); !wait {
+		if _, wait := waitpolicy.ShouldWait(p, singleDeadline(end), time.Now()); !wait {
 			return reply, nil
 		}
 	}
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -6,8 +6,8 @@
 
 	"sumachead"
 	"sumachead/internal/loop"
-	"sumachead/internal/patience"
 	"sumachead/internal/settings"
+	"sumachead/internal/waitpolicy"
 )
 
 // waitForServer chooses the target of the next attempt. If no backend server is reachable, it
@@ -19,7 +19,7 @@
 			return err
 		}
 		now := time.Now()
-		retryAt, wait := patience.ShouldWait(d.serverEstimate(), singleDeadline(d.x.deadline), now)
+		retryAt, wait := waitpolicy.ShouldWait(d.serverEstimate(), singleDeadline(d.x.deadline), now)
 		if !wait {
 			return err
 		}
@@ -34,8 +34,8 @@
 }
 
 // singleDeadline returns the deadlines for a caller that sets only one deadline.
-func singleDeadline(deadline time.Time) patience.Deadlines {
-	return patience.Deadlines{Soft: deadline, Hard: deadline}
+func singleDeadline(deadline time.Time) waitpolicy.Deadlines {
+	return waitpolicy.Deadlines{Soft: deadline, Hard: deadline}
 }
 
 // mayWaitForServer reports whether a server may accept the refused attempt as soon as its agent is
@@ -53,7 +53,7 @@
 	if pool := d.follower.View().Pool(d.x.pool.ID); pool != nil {
 		latest = d.links.silentSince(pool, latest)
 	}
-	return patience.ElapsedEstimate{Since: latest}
+	return waitpolicy.ElapsedEstimate{Since: latest}
 }
 
 // silentSince returns the latest time at which a backend server of the pool became silent, or
--- a/internal/moment/moment.go
+++ b/internal/timeutil/moment.go
@@ -1,5 +1,5 @@
-// Package moment compares times.
-package moment
+// Package timeutil compares times.
+package timeutil
 
 import "time"
 
--- a/internal/patience/patience.go
+++ b/internal/waitpolicy/patience.go
@@ -1,4 +1,4 @@
-// Package patience decides how long a request waits for something it lacks, and when the
+// Package waitpolicy decides how long a request waits for something it lacks, and when the
 // caller of a refused request should retry.
 //
 // A [sumachead.Estimate] estimates, from past observations, when the missing thing will be
@@ -10,7 +10,7 @@
 //   - an unsure estimate is believed while the response would be in time.
 //
 // The package has no clock; callers pass times.
-package patience
+package waitpolicy
 
 import (
 	"math/rand/v2"
--- a/internal/patience/patience_test.go
+++ b/internal/waitpolicy/patience_test.go
@@ -1,4 +1,4 @@
-package patience
+package waitpolicy
 
 import (
 	"testing"
